--- a/rosepick/connections/accept_throttle.py
+++ b/rosepick/connections/accept_throttle.py
@@ -1,4 +1,4 @@
-"""Throttles of new connections: accepts in batches, TLS handshakes within a fraction of the CPU time."""
+"""Throttles for new connections: accepts in batches, TLS handshakes within a fraction of the CPU time."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from collections.abc import Callable
 
 MAX_ACCEPTS = 32  # accepts in one batch
-MAX_ACCEPT_MS = 3.0  # the duration of one batch, so that timers, responses and upstreams get their turn
-MAX_BURST_CPU_MS = 20.0  # CPU time that handshakes may take at once
+MAX_ACCEPT_MS = 3.0  # duration of one batch, so that timers, responses and upstreams are served in between
+MAX_BURST_CPU_MS = 20.0  # CPU time that a burst of handshakes may take
 
 
 class AcceptThrottle:
     """One batch of accepts.
 
     Args:
-        now: the present time, milliseconds.
+        now: the current time, milliseconds.
     """
 
     __slots__ = ("_accepts_left", "_deadline")
@@ -24,21 +24,21 @@
         self._deadline = now + MAX_ACCEPT_MS
 
     def try_accept(self, now: float) -> bool:
-        """Count one more accept, and return whether it is still within the batch."""
+        """Count an accept, and return whether it is within the limits of the batch."""
         self._accepts_left -= 1
         return self._accepts_left >= 0 and now < self._deadline
 
 
 class HandshakeThrottle:
-    """Limits handshakes to a fraction of the time; those beyond it wait in the order of their arrival.
+    """Limits handshakes to a fraction of the CPU time; further handshakes wait in order of arrival.
 
-    A token bucket fills with that fraction of the time that passes and is emptied by the CPU time that
-    handshakes took. A handshake proceeds as soon as the bucket is not empty, whatever it will take; so the
-    limit is exceeded by one handshake at most.
+    A token bucket fills at `cpu_fraction` milliseconds per millisecond, and handshakes take their CPU time
+    from it. A handshake may proceed while the bucket is not empty, whatever its cost, so the limit is
+    exceeded by at most one handshake.
 
     Args:
-        cpu_fraction: the fraction of the time, 0 to 1.
-        now: the present time, milliseconds.
+        cpu_fraction: the fraction of the CPU time, 0 to 1.
+        now: the current time, milliseconds.
     """
 
     def __init__(self, cpu_fraction: float, now: float) -> None:
@@ -57,20 +57,20 @@
         return not self._waiting and self._cpu_tokens_ms > 0
 
     def enqueue(self, resume: Callable[[], None]) -> None:
-        """Add a handshake that is to be resumed by a call when its turn comes."""
+        """Add a waiting handshake; `resume` is called when it may proceed."""
         self._waiting.append(resume)
 
     def charge_cpu(self, cpu_ms: float) -> None:
-        """Record the CPU time of a handshake or a step of it, milliseconds."""
+        """Record the CPU time of a handshake or of one step of it, in milliseconds."""
         self._cpu_tokens_ms -= cpu_ms
 
     def pop_ready(self, now: float) -> Callable[[], None] | None:
-        """Remove and return the handshake whose turn it is, or None if none may proceed."""
+        """Remove and return the next waiting handshake, or None if none may proceed."""
         self._refill(now)
         return self._waiting.popleft() if self._waiting and self._cpu_tokens_ms > 0 else None
 
     def next_delay_ms(self) -> float | None:
-        """Return after how many milliseconds the next handshake may proceed, or None if none waits."""
+        """Return the milliseconds until the next handshake may proceed, or None if none waits."""
         if not self._waiting:
             return None
         return max(1.0, -self._cpu_tokens_ms / self.cpu_fraction) if self._cpu_tokens_ms <= 0 else 0.0
--- a/rosepick/connections/address_quota.py
+++ b/rosepick/connections/address_quota.py
@@ -1,11 +1,11 @@
-"""How many connections each address holds, and its quota; every operation takes constant time."""
+"""Connection counts and quotas of client addresses; every operation takes constant time."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-MIN_QUOTA = 4  # connections that every address may hold
-MAX_RECENT_ADDRESSES = 1024  # addresses remembered although they hold no connection
+MIN_QUOTA = 4  # minimum quota of an address, in connections
+MAX_RECENT_ADDRESSES = 1024  # upper bound of the addresses remembered in one time window
 
 
 class AddressQuota:
@@ -16,8 +16,8 @@
         self._addresses_by_count: dict[int, OrderedDict[str, None]] = {}
         self._max_count = 0
         self._total = 0
-        self._previous_window: set[str] = set()  # addresses that were seen in the previous time window
-        self._current_window: set[str] = set()  # addresses that were seen in the present one
+        self._previous_window: set[str] = set()  # addresses seen in the previous time window
+        self._current_window: set[str] = set()  # addresses seen in the current time window
 
     def __len__(self) -> int:
         """Return how many addresses hold a connection."""
@@ -28,11 +28,11 @@
         return self._counts.get(peer, 0)
 
     def max_count(self) -> int:
-        """Return how many connections the address with the most of them holds."""
+        """Return the largest number of connections that one address holds."""
         return self._max_count
 
     def add(self, peer: str) -> None:
-        """Count a connection that an address opened."""
+        """Count a connection opened by an address."""
         count = self._counts.get(peer, 0)
         self._update_count(peer, count, count + 1)
         if len(self._current_window) < MAX_RECENT_ADDRESSES:
@@ -41,15 +41,15 @@
         self._max_count = max(self._max_count, count + 1)
 
     def remove(self, peer: str) -> None:
-        """Subtract a connection of an address that was closed."""
+        """Stop counting a closed connection of an address."""
         count = self._counts[peer]
         self._update_count(peer, count, count - 1)
         self._total -= 1
         if self._max_count not in self._addresses_by_count:
-            self._max_count = count - 1  # it was the only address with that many, and has one less now
+            self._max_count = count - 1  # it was the only address with the maximum, and now holds one less
 
     def rotate_window(self) -> None:
-        """Begin a time window, and forget addresses that hold nothing and were last seen two windows ago."""
+        """Begin a time window; addresses without a connection that were last seen two windows ago expire."""
         self._previous_window = self._current_window
         self._current_window = set(self._counts)
 
@@ -60,12 +60,12 @@
     def quota_for(self, peer: str, capacity: int) -> int:
         """Return how many connections an address may hold while capacity is short.
 
-        It is an equal part of the capacity, or what the others leave if they double their connections. With a
-        single address it is all of the capacity.
+        The quota is an equal share of the capacity, or, if larger, the capacity that remains after all other
+        addresses double their connections. A single address may use all of the capacity.
 
         Args:
             peer: the address.
-            capacity: how many connections all addresses may hold.
+            capacity: how many connections all addresses together may hold.
         """
         address_count = self.address_count()
         if address_count < 2:
--- a/rosepick/connections/connection_table.py
+++ b/rosepick/connections/connection_table.py
@@ -1,7 +1,7 @@
-"""All client connections: what each is doing, since when, and how it ended.
+"""Table of all client connections: the state of each, since when, and the reason for its close.
 
-The caller reports each change at its time (milliseconds on any monotonic clock). Each report takes the same
-time however many connections there are, and memory grows with the open ones only.
+The caller reports each change with its time, in milliseconds on any monotonic clock. Each report takes
+constant time, and memory grows with the number of open connections only.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from .address_quota import AddressQuota
 from .idle_queue import IdleQueue
 
-REMEMBERED_STATUS_COUNT = 4  # recent responses of which the status is remembered
+REMEMBERED_STATUS_COUNT = 4  # recent responses whose status is kept for each connection
 
 
 class ConnectionState(Enum):
-    """What a connection is doing."""
+    """State of a connection."""
 
-    NEW = "fresh"  # open, without a request so far
+    NEW = "fresh"  # open, no request yet
     ACTIVE = "asking"  # a request is in progress, or its response is being written
-    IDLE = "kept"  # all requests are answered, and it may send another one
-    LINGERING = "lingering"  # its last response is written; the peer's close is awaited
+    IDLE = "kept"  # all requests are answered, and another one may follow
+    LINGERING = "lingering"  # the last response is written, and the peer has yet to close
     CLOSED = "closed"
 
 
@@ -40,44 +40,44 @@
     ConnectionState.LINGERING: frozenset({ConnectionState.CLOSED}),
     ConnectionState.CLOSED: frozenset(),
 }
-"""The states that may follow each state. `ConnectionTable` raises ValueError on any other transition."""
+"""Allowed next states of each state. `ConnectionTable` raises ValueError on any other transition."""
 
 
 class CloseReason(Enum):
     """Why a connection was closed."""
 
-    CLIENT_CLOSED = "client"  # the client closed it, or asked for its close
+    CLIENT_CLOSED = "client"  # the client closed it or requested the close
     CONNECTION_LOST = "broke"  # reset, or the peer's machine is unreachable
-    NOT_WORTH_KEEPING = "answered"  # with a response: its slot is needed before it is expected to be reused
-    CAPACITY = "room"  # between requests: capacity for clients was short
-    DESCRIPTORS = "need"  # between requests: descriptors were needed for something else
-    ADDRESS_QUOTA = "address"  # its address holds more than its quota while capacity is short
+    NOT_WORTH_KEEPING = "answered"  # after a response: its slot is needed before its expected reuse
+    CAPACITY = "room"  # between requests: clients needed slots
+    DESCRIPTORS = "need"  # descriptors were needed for other purposes
+    ADDRESS_QUOTA = "address"  # its address exceeded its quota while capacity was short
     NO_REQUEST = "silent"  # no request within `silent_timeout`
     IDLE_TIMEOUT = "idle"  # no further request within `idle_timeout`
-    STALLED_REQUEST = "half"  # amid a request that made no progress: its slot was needed
-    SLOW_CLIENT = "slow"  # a request that was not completed in time, or a response that was not read
-    TRUNCATED_RESPONSE = "cut"  # amid a response that its upstream did not complete
-    BAD_REQUEST = "rejected"  # after a request that cannot be accepted
-    INTERNAL_ERROR = "fault"  # an exception of this program
-    SHUTDOWN = "ending"  # the router shuts down
+    STALLED_REQUEST = "half"  # during a request without progress: its slot was needed
+    SLOW_CLIENT = "slow"  # the client did not complete a request or read a response in time
+    TRUNCATED_RESPONSE = "cut"  # during a response that the upstream did not complete
+    BAD_REQUEST = "rejected"  # after a request that the router rejected
+    INTERNAL_ERROR = "fault"  # an exception in the router
+    SHUTDOWN = "ending"  # the router shut down
 
 
 class ConnectionRecord:
-    """One connection. Times are milliseconds.
+    """State of one connection. Times are milliseconds.
 
     Args:
-        driver: the connection's owner; the table never looks at it.
+        owner: the object that drives the connection; opaque to the table.
         listener_name: the name of the listener that accepted it.
-        peer: the client's address, or "" for one of the router's own connections.
+        peer: the client's address, or "" for a connection of the router to itself.
         opened_at: when it was accepted.
     """
 
     __slots__ = (
         "close_reason",
-        "driver",
         "is_reuse_sample",
         "listener_name",
         "opened_at",
+        "owner",
         "peer",
         "ready_at",
         "recent_statuses",
@@ -87,42 +87,42 @@
         "state_since",
     )
 
-    def __init__(self, driver: object, listener_name: str, peer: str, opened_at: float) -> None:
-        self.driver = driver
+    def __init__(self, owner: object, listener_name: str, peer: str, opened_at: float) -> None:
+        self.owner = owner
         self.listener_name = listener_name
         self.peer = peer
         self.opened_at = opened_at
-        self.ready_at = opened_at  # when it could carry a request: after the handshake, if there is one
-        self.request_started_at = inf  # when the first bytes of a request arrived
+        self.ready_at = opened_at  # when it could carry a request: after the TLS handshake, if any
+        self.request_started_at = inf  # when the first bytes of the first request arrived
         self.state = ConnectionState.NEW
         self.state_since = opened_at
-        self.request_count = 0  # requests that were begun
-        self.recent_statuses = ""  # the first digits of the last responses' status codes, the newest last
-        self.close_reason: CloseReason | None = None  # once the close has been decided
-        self.is_reuse_sample = False  # kept open to see whether it is reused, although that is not expected
+        self.request_count = 0  # requests started so far
+        self.recent_statuses = ""  # first digits of the status codes of recent responses, the latest last
+        self.close_reason: CloseReason | None = None  # set once the close is decided
+        self.is_reuse_sample = False  # kept open to test whether it is reused, against expectation
 
     def mark_bytes_received(self, now: float) -> None:
-        """Record that bytes have arrived."""
+        """Record that bytes arrived."""
         if self.request_started_at == inf:
             self.request_started_at = now
 
 
 class IdleQueues:
-    """The connections without a request, by kind."""
+    """Connections without a request in progress, by kind."""
 
     __slots__ = ("reused", "unused", "used_once")
 
     def __init__(self, now: float) -> None:
-        self.unused: IdleQueue[ConnectionRecord] = IdleQueue(now)  # no request so far
+        self.unused: IdleQueue[ConnectionRecord] = IdleQueue(now)  # no request yet
         self.used_once: IdleQueue[ConnectionRecord] = IdleQueue(now)
-        self.reused: IdleQueue[ConnectionRecord] = IdleQueue(now)  # more than one request so far
+        self.reused: IdleQueue[ConnectionRecord] = IdleQueue(now)  # two or more requests
 
     def all(self) -> tuple[IdleQueue[ConnectionRecord], ...]:
         """Return the queues of all kinds."""
         return self.unused, self.used_once, self.reused
 
     def queue_of(self, record: ConnectionRecord) -> IdleQueue[ConnectionRecord] | None:
-        """Return the queue of a connection's kind, or None if it is not idle."""
+        """Return the queue for a connection's kind, or None if the connection is not idle."""
         if record.state is ConnectionState.NEW:
             return self.unused
         if record.state is ConnectionState.IDLE:
@@ -131,16 +131,16 @@
 
 
 class ConnectionTable:
-    """All open connections, by what they are doing.
+    """All open connections, by state.
 
     Args:
-        now: the present time, milliseconds.
+        now: the current time, milliseconds.
     """
 
     def __init__(self, now: float) -> None:
         self.idle = IdleQueues(now)
         self.lingering: OrderedDict[ConnectionRecord, None] = OrderedDict()  # the longest lingering first
-        # connections with an incomplete request and when bytes of it last arrived, the earliest first
+        # connections with a partial request, and when bytes last arrived on them; the earliest first
         self.partial_requests: OrderedDict[ConnectionRecord, float] = OrderedDict()
         self.active_count = 0
         self.opened_total = 0  # since the start
@@ -162,11 +162,11 @@
         yield from self.lingering
 
     def client_held_count(self) -> int:
-        """Return how many connections clients hold for requests: the active and the answered ones."""
+        """Return how many connections clients hold for requests: active and answered ones."""
         return self.active_count + len(self.idle.used_once) + len(self.idle.reused)
 
     def counts_by_kind(self) -> dict[str, int]:
-        """Return how many connections there are of each kind, under the names of log fields."""
+        """Return the number of connections of each kind; the keys are log fields."""
         return {
             "active": self.active_count,
             "unused": len(self.idle.unused),
@@ -178,9 +178,9 @@
 
     # ---------------------------------------------------------------------------------------- transitions
 
-    def add_connection(self, driver: object, listener_name: str, peer: str, now: float) -> ConnectionRecord:
-        """Add a connection that was accepted; one without a peer ("") counts against no quota."""
-        record = ConnectionRecord(driver, listener_name, peer, now)
+    def add_connection(self, owner: object, listener_name: str, peer: str, now: float) -> ConnectionRecord:
+        """Add an accepted connection; an empty `peer` counts against no quota."""
+        record = ConnectionRecord(owner, listener_name, peer, now)
         self.opened_total += 1
         self.open_by_listener[listener_name] += 1
         if peer:
@@ -189,15 +189,15 @@
         return record
 
     def record_partial_request(self, record: ConnectionRecord, now: float) -> None:
-        """Record that more of an incomplete request has arrived."""
+        """Record that bytes of a partial request arrived."""
         if self.idle.queue_of(record) is not None:
             self.partial_requests[record] = now
             self.partial_requests.move_to_end(record)
 
     def begin_request(self, record: ConnectionRecord, now: float) -> None:
-        """Record that a request is begun.
+        """Record the start of a request.
 
-        A pipelined request follows a response at once, and counts as well.
+        A pipelined request, which starts on an active connection, counts too.
         """
         if record.state is not ConnectionState.ACTIVE:
             self._transition(record, ConnectionState.ACTIVE, now, for_request=True)
@@ -209,7 +209,7 @@
         record.recent_statuses = (record.recent_statuses + str(status // 100))[-REMEMBERED_STATUS_COUNT:]
 
     def mark_idle(self, record: ConnectionRecord, now: float) -> None:
-        """Record that all requests are answered and the responses written."""
+        """Record that all requests are answered and all responses are written."""
         self._transition(record, ConnectionState.IDLE, now)
 
     def mark_lingering(self, record: ConnectionRecord, now: float) -> None:
@@ -217,14 +217,14 @@
         self._transition(record, ConnectionState.LINGERING, now)
 
     def mark_closed(self, record: ConnectionRecord, reason: CloseReason, now: float) -> None:
-        """Record the close of a connection. A reason that was decided before takes precedence."""
+        """Record the close of a connection. A `close_reason` set before takes precedence over `reason`."""
         self._transition(record, ConnectionState.CLOSED, now)
         self.open_by_listener[record.listener_name] -= 1
         if not self.open_by_listener[record.listener_name]:
             del self.open_by_listener[record.listener_name]
         if record.peer:
             self.address_quota.remove(record.peer)
-        record.driver = None  # it refers back: leave no reference cycle
+        record.owner = None  # breaks the reference cycle with the owner
         record.close_reason = record.close_reason or reason
         self.closed_by_reason[record.close_reason] += 1
 
@@ -234,7 +234,7 @@
         """Move a connection to another state.
 
         Raises:
-            ValueError: the state may not follow its present one.
+            ValueError: the transition is not allowed.
         """
         if state not in ALLOWED_TRANSITIONS[record.state]:
             raise ValueError(f"a connection that is {record.state.value} cannot become {state.value}")
--- a/rosepick/connections/descriptor_budget.py
+++ b/rosepick/connections/descriptor_budget.py
@@ -1,13 +1,13 @@
-"""File descriptors as one budget with named parts.
+"""Budget of file descriptors, by use.
 
-    limit                     what the process may hold
-      program, files          reserved: listeners, selector, wake-up, log; files that are open for a moment
-      connects                reserved: connections to upstreams for requests that were accepted already
-      the rest                downstream, upstreams, discovery and batches, each as it needs, and
-        downstream            at most its fraction of it
+    limit                     all descriptors of the process
+      program, files          reserved: listeners, selector, wake-up pair, log; files that are open briefly
+      connects                reserved: connections to upstreams for requests that were already accepted
+      the rest                shared by downstream, upstreams, discovery and batches
+        downstream            limited to its fraction of the rest
 
-If one part lacks a descriptor, the `reclaimers` of `DescriptorBudget` close something of little use, in
-order.
+If no descriptor is left, the `reclaimers` of `DescriptorBudget` are tried in order; each closes a connection
+of low value.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class DescriptorUse(Enum):
-    """What a descriptor is used for."""
+    """Purpose of a descriptor."""
 
     DOWNSTREAM = "doors"
     UPSTREAM = "next_hops"
@@ -26,53 +26,53 @@
 
 
 RESERVED_FOR_PROGRAM = 16  # listeners, selector, wake-up pair, standard streams
-RESERVED_FOR_FILES = 16  # certificates, captures, configuration: open for a moment
-RESERVED_FOR_CONNECTS = 16  # accepted requests must get their answer, also while all the rest is in use
+RESERVED_FOR_FILES = 16  # certificates, captures, configuration: open briefly
+RESERVED_FOR_CONNECTS = 16  # connects for accepted requests while all other descriptors are in use
 MIN_DESCRIPTORS = 8
 
 Reclaimer = Callable[[], bool]
-"""Closes one descriptor, and returns whether there was one to close."""
+"""Closes one descriptor, and returns whether it closed one."""
 
 
 def _ignore() -> None:
-    """Do nothing when a descriptor is released."""
+    """Ignore the release of a descriptor."""
 
 
 class DescriptorBudget:
     """Counts descriptors by use.
 
     Args:
-        limit: how many descriptors the process may hold.
-        downstream_fraction: the fraction of the unreserved ones that client connections may hold.
+        limit: the maximum number of descriptors of the process.
+        downstream_fraction: the fraction of the unreserved descriptors that client connections may hold.
     """
 
     def __init__(self, limit: int, downstream_fraction: float = 0.5) -> None:
         self.used = 0
         self.used_by_purpose = dict.fromkeys(DescriptorUse, 0)
         self.downstream_fraction = downstream_fraction
-        self.reclaimers: list[Reclaimer] = []  # in the order in which they are tried
+        self.reclaimers: list[Reclaimer] = []  # in the order of use
         self.on_release: Callable[[], None] = _ignore
         self.resize(limit)
 
     def resize(self, limit: int) -> None:
-        """Change how many descriptors the process may hold. Nothing is closed by this: see `excess`."""
+        """Change the maximum number of descriptors. This closes nothing; see `excess`."""
         self.limit = max(
             MIN_DESCRIPTORS, limit - RESERVED_FOR_PROGRAM - RESERVED_FOR_FILES - RESERVED_FOR_CONNECTS
         )
 
     def acquire(self, use: DescriptorUse) -> None:
-        """Count a descriptor that was opened."""
+        """Count an opened descriptor."""
         self.used += 1
         self.used_by_purpose[use] += 1
 
     def release(self, use: DescriptorUse) -> None:
-        """Subtract a descriptor that was closed."""
+        """Stop counting a closed descriptor."""
         self.used -= 1
         self.used_by_purpose[use] -= 1
         self.on_release()
 
     def excess(self) -> int:
-        """Return how many descriptors are open beyond the limit, as after it was lowered."""
+        """Return how many open descriptors exceed the limit, for example after it was lowered."""
         return max(0, self.used - self.limit)
 
     def downstream_limit(self) -> int:
@@ -80,14 +80,14 @@
         return max(1, int(self.downstream_fraction * self.limit))
 
     def ensure_available(self, use: DescriptorUse) -> bool:
-        """Return whether one more descriptor may be opened, after reclaiming another one if need be."""
+        """Return whether one more descriptor may be opened; reclaim another one if necessary."""
         if use is DescriptorUse.DOWNSTREAM and (
             self.used_by_purpose[use] >= self.downstream_limit() or self.excess()
         ):
-            return False  # above a lowered limit no client is accepted, until the limit is reached
+            return False  # accept no client while more descriptors are open than a lowered limit
         limit = self.limit + (RESERVED_FOR_CONNECTS if use is DescriptorUse.UPSTREAM else 0)
         return self.used < limit or self.reclaim_one()
 
     def reclaim_one(self) -> bool:
-        """Close a descriptor that is of little use, and return whether there was one."""
+        """Close one descriptor of low value, and return whether one was closed."""
         return any(reclaim() for reclaim in self.reclaimers)
--- a/rosepick/connections/eviction.py
+++ b/rosepick/connections/eviction.py
@@ -1,4 +1,4 @@
-"""Which connections are closed between requests: expired ones, those of least value, and on demand."""
+"""Selection of the connections to close between requests: expired, for capacity, or for a descriptor."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from .idle_queue import IdleQueue
 from .limit_estimator import ClientActivity
 
-# connections used once that are not expected to be reused within this time count as inactive
+# A connection that was used once counts as inactive if its expected idle time is longer than this.
 UNLIKELY_REUSE_AFTER_MS = 1_000.0
-MIN_IDLE_AGE_MS = 100.0  # nothing that has been idle for less is closed between requests
-MIN_REUSED_IDLE_AGE_MS = 2_000.0  # the same, for one that was reused and is closed on demand
-NEW_CONNECTION_GRACE_MS = 200.0  # a new connection is given so long to send a request
-MIN_LINGER_MS = 50.0  # a connection that has been lingering for so long may be closed on demand
-STALLED_REQUEST_MS = 600.0  # without progress of a request, after which it may be closed on demand
-MAX_QUOTA_CANDIDATES = 64  # connections of each kind that are searched for those of addresses over quota
-MAX_CLOSES_PER_REVIEW = 32  # closed for capacity at one review
+MIN_IDLE_AGE_MS = 100.0  # a connection that has been idle for less is not evicted
+MIN_REUSED_IDLE_AGE_MS = 2_000.0  # minimum idle time of a reused connection before an eviction on demand
+NEW_CONNECTION_GRACE_MS = 200.0  # time for a new connection to send a request before an eviction on demand
+MIN_LINGER_MS = 50.0  # minimum time of lingering before an eviction on demand
+STALLED_REQUEST_MS = 600.0  # time without progress of a partial request before an eviction on demand
+MAX_QUOTA_CANDIDATES = 64  # connections of each kind that are searched for addresses over quota
+MAX_CLOSES_PER_REVIEW = 32  # upper bound of closes for capacity in one review
 
 
 class EvictionCandidate(NamedTuple):
-    """A connection that may be closed, and the reason."""
+    """A connection that may be closed, and the reason for the close."""
 
     record: ConnectionRecord
     reason: CloseReason
 
 
 class EvictionSelector:
-    """Selects the connections to close. Times are milliseconds.
+    """Selects connections to close. Times are milliseconds.
 
     Args:
         connection_table: the open connections.
@@ -42,7 +42,7 @@
         self.headroom = headroom
 
     def select_expired(self, now: float) -> Iterator[EvictionCandidate]:
-        """Yield the connections that have been idle for longer than they may."""
+        """Yield the connections whose idle time exceeds its timeout."""
         idle = self.connection_table.idle
         limits = self.headroom.limits
         for queue, timeout_ms, reason in (
@@ -54,7 +54,7 @@
                 yield EvictionCandidate(record, reason)
 
     def select_for_capacity(self, now: float) -> list[ConnectionRecord]:
-        """Return the connections to close so that clients can open others, or as a probe of their limit."""
+        """Return the connections to close to free slots for clients, or to probe the clients' limit."""
         missing = self.headroom.target_free_slots(now) - self.headroom.free_slots()
         if missing > 0:
             return self._select_least_valuable(now, min(MAX_CLOSES_PER_REVIEW, missing))
@@ -72,14 +72,14 @@
             opening_rate.last_opened_at,
         )
         count = self.headroom.limit_estimator.start_probe(now, activity)
-        # The youngest ones: connections that are reused from time to time, the oldest of which is due next,
-        # are left out as far as possible.
+        # Close those that became idle last. Of connections that are reused periodically, the one that has
+        # been idle longest is due next.
         return inactive[len(inactive) - count :]
 
     def _select_least_valuable(self, now: float, count: int) -> list[ConnectionRecord]:
         """Return the answered connections that are least likely to be reused soon, the longest idle first.
 
-        Those of an address over its quota come before all others.
+        Connections of an address over its quota come before all others.
         """
         idle = self.connection_table.idle
         queues = sorted((idle.used_once, idle.reused), key=lambda queue: -queue.expected_idle_ms(now))
@@ -89,11 +89,11 @@
         return records[:count]
 
     def select_on_demand(self, now: float, is_urgent: bool = True) -> Iterator[EvictionCandidate]:
-        """Yield connections that may be closed for one that is needed more, the least useful first.
+        """Yield connections that may be closed to free a descriptor, the least valuable first.
 
         Args:
-            now: the present time.
-            is_urgent: whether to go on to connections that are likely to be missed.
+            now: the current time, milliseconds.
+            is_urgent: whether to include connections that are likely to be reused soon.
         """
         yield from self._select_lingering(now)
         if self.headroom.has_address_over_quota():
@@ -115,7 +115,7 @@
                     yield EvictionCandidate(record, CloseReason.ADDRESS_QUOTA)
 
     def _select_idle(self, now: float) -> Iterator[EvictionCandidate]:
-        """Yield idle connections, the kind that is expected to stay idle the longest first."""
+        """Yield idle connections, starting with the kind that has the longest expected idle time."""
         idle = self.connection_table.idle
         kinds: list[tuple[IdleQueue[ConnectionRecord], float]] = [
             (idle.unused, NEW_CONNECTION_GRACE_MS),
@@ -131,10 +131,10 @@
                 yield from self._select_stalled_requests(now)
 
     def _select_stalled_requests(self, now: float) -> Iterator[EvictionCandidate]:
-        """Yield connections with an incomplete request that makes no progress, the longest stalled first.
+        """Yield connections with a partial request that makes no progress, the longest stalled first.
 
-        Guards against many clients that never complete a request and keep their slots for as long as a
-        request may take. A client that writes slowly, but goes on, makes progress before.
+        Without this, clients that never complete a request would hold their slots for the whole request
+        timeout. A client that writes slowly but steadily is not affected.
         """
         for record, last_received_at in self.connection_table.partial_requests.items():
             if now - last_received_at < STALLED_REQUEST_MS:
--- a/rosepick/connections/idle_queue.py
+++ b/rosepick/connections/idle_queue.py
@@ -1,9 +1,8 @@
-"""Connections of one kind without a request, and how long one is expected to stay idle.
+"""Queue of idle connections of one kind, with an estimate of their idle time.
 
-The rate of requests is a maximum likelihood estimate for waiting times that are still running (censored):
-requests over the idle time of all connections, both decayed with a time constant. A connection that never
-sends a request counts from its first moment, and one that the router closes counts for as long as it was
-idle.
+The request rate is a maximum likelihood estimate for censored waiting times: the number of requests divided
+by the idle time of all connections, both decayed with a time constant. The idle time of a connection counts
+from its start, even if no request ever arrives, and until the close if the router closes it.
 """
 
 from __future__ import annotations
@@ -13,8 +12,8 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-PRIOR_REQUESTS = 1.0  # the prior: so many requests were observed ...
-PRIOR_IDLE_MS = 500.0  # ... each after so long
+PRIOR_REQUESTS = 1.0  # number of requests in the prior
+PRIOR_IDLE_MS = 500.0  # idle time before each request of the prior
 IDLE_DECAY_TIME_CONSTANT_MS = 2_000.0
 
 
@@ -26,7 +25,7 @@
     def __init__(self, now: float) -> None:
         self._since: OrderedDict[T, float] = OrderedDict()
         self._requests = 0.0  # decayed
-        self._idle_ms = 0.0  # of all connections together, decayed, up to `_accrued_until`
+        self._idle_ms = 0.0  # sum over all connections up to `_accrued_until`, decayed
         self._accrued_until = now
 
     def __len__(self) -> int:
@@ -38,7 +37,7 @@
         return iter(self._since)
 
     def add(self, connection: T, now: float) -> None:
-        """Add a connection that is idle from now on."""
+        """Add a connection that becomes idle at `now`."""
         self._accrue_idle_time(now)
         self._since[connection] = now
 
@@ -49,19 +48,19 @@
         self._requests += for_request
 
     def expected_idle_ms(self, now: float) -> float:
-        """Return how long a connection is expected to stay idle until its next request."""
+        """Return the expected time, in milliseconds, until the next request of a connection."""
         self._accrue_idle_time(now)
         return (PRIOR_REQUESTS * PRIOR_IDLE_MS + self._idle_ms) / (PRIOR_REQUESTS + self._requests)
 
     def idle_since(self, before: float) -> Iterator[T]:
-        """Yield the connections that are idle since `before` or longer, the longest idle first."""
+        """Yield the connections that became idle at or before `before`, the longest idle first."""
         for connection, since in self._since.items():
             if since > before:
                 return
             yield connection
 
     def decay(self, elapsed_ms: float) -> None:
-        """Reduce the weight of earlier observations by the time that has passed."""
+        """Reduce the weight of earlier observations after `elapsed_ms` milliseconds."""
         remaining_weight = max(0.0, 1.0 - elapsed_ms / IDLE_DECAY_TIME_CONSTANT_MS)
         self._requests *= remaining_weight
         self._idle_ms *= remaining_weight
--- a/rosepick/connections/limit_estimator.py
+++ b/rosepick/connections/limit_estimator.py
@@ -1,10 +1,11 @@
-"""How many connections clients may hold at one time: configured, or learned from where they stop opening.
-
-Nobody reports a client's own limit. A probe shows it. There are two occasions for one: clients that were
-opening connections stop while answered ones are idle, or the number that they hold stays on a plateau and
-most of them are idle. Then some of the idle ones are closed. If that many more than usual are opened at once,
-clients were held up, and what they held is their limit. If not, it was a lull. An estimate expires after a
-while, as it may have been chance, and the policy itself keeps clients below it.
+"""Estimate of how many connections clients can hold at one time: configured, or learned by probes.
+
+Clients do not report their own connection limit, so the router measures it by a probe. A probe starts when
+clients stop opening connections while answered ones are idle, or when the number of held connections stays on
+a plateau and most of them are idle. The probe closes some of the idle connections. If clients then open as
+many connections beyond the usual rate, they had reached their limit, and the limit is the number that they
+held. Otherwise they had no requests. An estimate expires, because the match may be a coincidence and because
+the policy itself keeps clients below the estimate.
 """
 
 from __future__ import annotations
@@ -12,58 +13,58 @@
 from dataclasses import dataclass
 from math import inf, sqrt
 
-DEFAULT_LIMIT_FRACTION = 1 / 3  # of the descriptors: the limit before anything is learned
+DEFAULT_LIMIT_FRACTION = 1 / 3  # default limit before a probe, as a fraction of the descriptors
 MIN_CONNECTION_LIMIT = 8
-RAISE_FACTOR = 1.25  # where more is held than the limit, the new limit as a multiple of what is held
-STOP_GAP_FACTOR = 8.0  # usual gaps between openings that pass without one: not by chance ...
-MIN_STOP_MS = 150.0  # ... if it takes at least this long
-MIN_OPENING_RATE_PER_S = 10.0  # below this rate a stop shows nothing
-PLATEAU_WINDOW_MS = 500.0  # the time window in which what is held is compared
-PLATEAU_TOLERANCE = 0.05  # the change of what is held, as a fraction, on a plateau
-MIN_PLATEAU_OPENINGS = 10  # openings in a window that can show a plateau
-MIN_INACTIVE_FRACTION = 0.5  # of what is held on a plateau
-PROBE_WINDOW_MS = 300.0  # time for clients to open connections after a probe's closes
-MIN_REOPENED_FRACTION = 0.7  # of a probe's closes that must be opened beyond the usual, at least ...
-NOISE_STANDARD_DEVIATIONS = 2.0  # ... and so many standard deviations of the usual
-PROBE_FRACTION = 8  # a probe closes one in so many of the inactive connections ...
-MIN_PROBE_CLOSES = 2  # ... and at least so many
-MIN_PROBE_BACKOFF_MS = 500.0  # between probes that showed nothing; doubled with each of them
-MAX_PROBE_BACKOFF_MS = 8_000.0
-MIN_ESTIMATE_TTL_MS = 10_000.0  # the lifetime of an estimate; doubled each time it is confirmed
-MAX_ESTIMATE_TTL_MS = 300_000.0
+RAISE_FACTOR = 1.25  # new limit, as a multiple of the held connections, once these exceed the limit
+STOP_GAP_FACTOR = 8.0  # clients have stopped after this multiple of the mean gap between openings
+MIN_STOP_MS = 150.0  # minimum time without an opening before clients count as stopped
+MIN_OPENING_RATE_PER_S = 10.0  # no probe starts below this rate: a stop is not significant
+PLATEAU_WINDOW_MS = 500.0  # time window in which the held connections are compared
+PLATEAU_TOLERANCE = 0.05  # largest relative change of the held connections on a plateau
+MIN_PLATEAU_OPENINGS = 10  # minimum openings in a window that can show a plateau
+MIN_INACTIVE_FRACTION = 0.5  # minimum inactive fraction of the held connections for a probe on a plateau
+PROBE_WINDOW_MS = 300.0  # time for clients to open connections after the closes of a probe
+MIN_REOPENED_FRACTION = 0.7  # openings beyond the usual that confirm a probe, as a fraction of its closes
+NOISE_STANDARD_DEVIATIONS = 2.0  # the same, as a multiple of the standard deviation of the usual openings
+PROBE_DIVISOR = 8  # a probe closes one in this many inactive connections
+MIN_PROBE_CLOSES = 2  # minimum closes of a probe
+MIN_PROBE_BACKOFF_MS = 500.0  # pause after a probe without a result; doubles with each such probe
+MAX_PROBE_BACKOFF_MS = 8_000.0  # upper bound of that pause
+MIN_ESTIMATE_TTL_MS = 10_000.0  # lifetime of the first estimate; doubles with each confirmation
+MAX_ESTIMATE_TTL_MS = 300_000.0  # upper bound of that lifetime
 
 
 @dataclass(frozen=True, slots=True)
 class ClientActivity:
-    """What clients do at one moment."""
+    """A snapshot of the clients' connections."""
 
     held_count: int  # connections that clients hold for requests
-    inactive_count: int  # of these: answered once, and not expected to send a request soon
+    inactive_count: int  # of these: answered once and not expected to be reused soon
     opening_rate_per_s: float  # connections opened each second, up to the last one
     last_opened_at: float  # when the last one was opened, milliseconds
 
 
 @dataclass(frozen=True, slots=True)
 class _Probe:
-    """A probe that is in progress."""
+    """A probe in progress."""
 
     started_at: float
     held_count: int
 
 
 class ConnectionLimitEstimator:
-    """How many connections clients may hold at one time. Times are milliseconds.
+    """Estimates how many connections clients can hold at one time. Times are milliseconds.
 
     Args:
-        descriptors: how many descriptors the process may hold.
-        configured_limit: the operators' limit, with which nothing is learned.
+        descriptors: the maximum number of descriptors of the process.
+        configured_limit: the limit set by operators; if set, the estimator does not learn.
     """
 
     def __init__(self, descriptors: int, configured_limit: int | None = None) -> None:
         self.reconfigure(descriptors, configured_limit)
 
     def reconfigure(self, descriptors: int, configured_limit: int | None) -> None:
-        """Apply another number of descriptors or configured limit, and forget what was learned."""
+        """Apply a changed number of descriptors or configured limit, and discard the learned limit."""
         self.configured_limit = configured_limit
         self.default_limit = (
             configured_limit
@@ -73,7 +74,7 @@
         self.limit = self.default_limit
         self.is_learned = False
         self._probe: _Probe | None = None
-        self._openings_to_confirm = 0.0  # openings that are missing to confirm the probe
+        self._openings_to_confirm = 0.0  # openings still needed to confirm the probe
         self._probe_backoff_ms = MIN_PROBE_BACKOFF_MS
         self._next_probe_at = 0.0
         self._estimate_ttl_ms = MIN_ESTIMATE_TTL_MS
@@ -81,20 +82,20 @@
         self._begin_window(0.0)
 
     def _begin_window(self, now: float) -> None:
-        """Begin a time window in which a plateau can show."""
+        """Begin a time window for the detection of a plateau."""
         self._window_began_at = now
         self._openings = 0
         self._lowest: float = inf
         self._highest: float = 0.0
 
     def record_held(self, count: int) -> None:
-        """Record how many connections clients hold; more than the limit disproves the limit."""
+        """Record how many connections clients hold; raise the limit if they hold more than it."""
         if self.configured_limit is None and count > self.limit:
             self.limit = int(RAISE_FACTOR * count) + 1
             self.is_learned = False
 
     def record_opening(self, now: float, held_count: int) -> None:
-        """Record that a client opened a connection for a request, and how many are held with it."""
+        """Record that a client opened a connection for a request; `held_count` includes it."""
         self._openings += 1
         self._lowest = min(self._lowest, held_count)
         self._highest = max(self._highest, held_count)
@@ -110,21 +111,21 @@
             self._probe_backoff_ms = MIN_PROBE_BACKOFF_MS
 
     def advance_time(self, now: float) -> None:
-        """Let an estimate expire, and end a probe that showed nothing."""
+        """Expire an old estimate, and end a probe that was not confirmed in time."""
         if now >= self._estimate_expires_at:
             self.limit = self.default_limit
             self.is_learned = False
             self._estimate_expires_at = inf
         if self._probe is not None and now - self._probe.started_at > PROBE_WINDOW_MS:
-            self._probe = None  # no more were opened than usual: it was a lull
+            self._probe = None  # openings stayed at the usual rate: clients had no requests
             self._probe_backoff_ms = min(MAX_PROBE_BACKOFF_MS, 2 * self._probe_backoff_ms)
             self._next_probe_at = now + self._probe_backoff_ms
 
     def start_probe(self, now: float, activity: ClientActivity) -> int:
-        """Start a probe if clients seem to have reached a limit of their own below the estimate.
+        """Start a probe if clients appear to have reached their own limit below the estimate.
 
         Returns:
-            How many inactive connections are to be closed for it; 0 if there is no probe.
+            The number of inactive connections to close for the probe; 0 if no probe starts.
         """
         is_on_plateau = self._is_on_plateau(now)
         if self.configured_limit is not None or self._probe is not None or now < self._next_probe_at:
@@ -140,7 +141,7 @@
         is_mostly_inactive = activity.inactive_count >= MIN_INACTIVE_FRACTION * activity.held_count
         if not has_stopped and not (is_on_plateau and is_mostly_inactive):
             return 0
-        count = min(activity.inactive_count, max(MIN_PROBE_CLOSES, activity.inactive_count // PROBE_FRACTION))
+        count = min(activity.inactive_count, max(MIN_PROBE_CLOSES, activity.inactive_count // PROBE_DIVISOR))
         usual = 0.0 if has_stopped else activity.opening_rate_per_s * PROBE_WINDOW_MS / 1000.0
         self._openings_to_confirm = usual + max(
             MIN_REOPENED_FRACTION * count, NOISE_STANDARD_DEVIATIONS * sqrt(usual)
@@ -149,7 +150,7 @@
         return count
 
     def _is_on_plateau(self, now: float) -> bool:
-        """Return whether what was held at openings hardly changed, at the end of a time window."""
+        """Return whether a time window ends now in which the held connections stayed almost constant."""
         if now - self._window_began_at < PLATEAU_WINDOW_MS:
             return False
         change = self._highest - self._lowest
--- a/rosepick/connections/opening_rate.py
+++ b/rosepick/connections/opening_rate.py
@@ -5,28 +5,28 @@
 from .limit_estimator import MIN_CONNECTION_LIMIT
 
 REVIEW_INTERVAL_MS = 100.0  # how often the rate is updated
-INSIGNIFICANT_OPENINGS = 4  # so many openings between two updates are no rate yet
+INSIGNIFICANT_OPENINGS = 4  # openings since the last update that do not count towards the net rate
 RATE_SMOOTHING = 0.8  # weight of the previous rate at an update
 MS_PER_S = 1000.0
 
 
 class OpeningRateEstimator:
-    """Connections opened for a request, each second. Times are milliseconds.
+    """Estimates how many connections are opened for requests per second. Times are milliseconds.
 
-    The net rate leaves out the openings in place of connections that the router has closed. Guards against
-    closes that cause openings, which would cause closes.
+    The net rate excludes openings that replace connections closed by the router. Otherwise closes would cause
+    openings, which would cause further closes.
 
     Args:
-        now: the present time.
+        now: the current time.
     """
 
     def __init__(self, now: float) -> None:
-        self.rate_at_last_opening = 0.0  # the gross rate, each second
+        self.rate_at_last_opening = 0.0  # gross rate per second
         self.last_opened_at = now
         self.expected_reopenings = (
-            0.0  # openings to be expected for the router's closes since the last update
+            0.0  # expected openings in place of connections closed since the last update
         )
-        self.reopen_probability = 0.0  # that a connection closed after one request is opened again
+        self.reopen_probability = 0.0  # for a connection closed after one request
         self._openings = 0  # since the last update
         self._gross_rate = 0.0  # smoothed
         self._net_rate = 0.0  # smoothed
@@ -35,7 +35,7 @@
     def record_opening(self, now: float) -> None:
         """Record that a client opened a connection because it had a request."""
         self._openings += 1
-        # a single opening is no rate, however short the time since the last update
+        # A few openings are not a rate, however short the time since the last update is.
         recent_rate = (
             MS_PER_S * self._openings / max(REVIEW_INTERVAL_MS, now - self._updated_at)
             if self._openings >= MIN_CONNECTION_LIMIT
@@ -45,7 +45,7 @@
         self.last_opened_at = now
 
     def net_rate(self, now: float) -> float:
-        """Return the connections opened each second, less those in place of connections closed here."""
+        """Return the connections opened per second, without those that replace closed ones."""
         recent_openings = self._openings - self.expected_reopenings - INSIGNIFICANT_OPENINGS
         return max(
             0.0,
@@ -54,7 +54,7 @@
         )
 
     def update(self, now: float) -> float:
-        """Take the openings since the last update into the rates, and return the time since it."""
+        """Add the openings since the last update to the rates; return the milliseconds since that update."""
         elapsed_ms = now - self._updated_at
         if elapsed_ms <= 0:
             return elapsed_ms
--- a/rosepick/connections/policy.py
+++ b/rosepick/connections/policy.py
@@ -1,12 +1,12 @@
-"""Which connections are worth their slot, and which are closed: the decisions over the connection table.
+"""Policy that decides which client connections are kept open and which are closed.
 
-The question is always the same: will this connection send another request before its slot is needed? When
-the slot is needed follows from the free slots and from how fast clients open connections with a request
-(`ConnectionHeadroom.time_until_full`); when the next request comes, from how long connections of its kind
-stay idle (`IdleQueue.expected_idle_ms`).
+A connection is kept if its next request is expected before its slot is needed.
+`ConnectionHeadroom.time_until_full` estimates when the slot is needed, from the free slots and from the rate
+at which clients open connections for requests. `IdleQueue.expected_idle_ms` estimates when the next request
+arrives, from how long connections of the same kind stay idle.
 
-Times are milliseconds. `ConnectionPolicy.review` is to be called every `REVIEW_INTERVAL_MS`, whatever
-happens: when all connections that clients may hold are idle, nothing else happens any more.
+Times are milliseconds. The caller must call `ConnectionPolicy.review` every `REVIEW_INTERVAL_MS` from a
+timer: if all connections that clients may hold are idle, no other event triggers a decision.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 from .opening_rate import REVIEW_INTERVAL_MS
 from .reuse_history import AddressReuseHistory
 
-# a client that opens a connection and sends a request within this time opened it for that request
+# A client that sends a request within this time after opening a connection opened it for that request.
 REQUEST_OPENING_WITHIN_MS = 100.0
-QUICK_REUSE_MS = 50.0  # a connection that is expected to be reused so soon is kept in any case
-# One in so many connections is kept although it is not expected to be reused, to see whether that is so ...
-SAMPLE_EACH = 8
-MAX_SAMPLED_FRACTION = 1 / 8  # ... but no more of the capacity than this
-MIN_EXCESS_CLOSES = 4  # descriptors over a lowered limit that are freed at one review, at least ...
-EXCESS_CLOSE_FRACTION = 1 / 8  # ... and as a fraction of the excess
-CLAIM_WINDOW_MS = 300.0  # the time in which a client has to use a slot that was freed between requests
-MIN_EVICTION_BACKOFF_MS = 1_000.0  # after slots were freed that no client used; doubled each time
-MAX_EVICTION_BACKOFF_MS = 8_000.0
-ADDRESS_WINDOW_MS = 10_000.0  # addresses without a connection count for one to two of these windows
-PRESSURE_OVER_AFTER_MS = 5_000.0  # connection pressure is over after so long without a close for it
+QUICK_REUSE_MS = 50.0  # a connection with a shorter expected idle time is always kept
+# One in this many connections that are not expected to be reused is kept, to test that expectation.
+CANDIDATES_PER_SAMPLE = 8
+MAX_SAMPLED_FRACTION = 1 / 8  # upper bound of these samples, as a fraction of the capacity
+MIN_EXCESS_CLOSES = 4  # minimum closes per review while more is open than a lowered limit
+EXCESS_CLOSE_FRACTION = 1 / 8  # closes per review, as a fraction of the excess over a lowered limit
+CLAIM_WINDOW_MS = 300.0  # an evicted slot that no client uses within this time counts as unclaimed
+MIN_EVICTION_BACKOFF_MS = 1_000.0  # pause of evictions after unclaimed slots; doubles each time
+MAX_EVICTION_BACKOFF_MS = 8_000.0  # upper bound of that pause
+ADDRESS_WINDOW_MS = 10_000.0  # an address without a connection is remembered for one to two windows
+PRESSURE_OVER_AFTER_MS = 5_000.0  # connection pressure ends after this time without a close because of it
 MAX_TIME_WITHOUT_CAPACITY_MS = MIN_IDLE_AGE_MS + CLAIM_WINDOW_MS + 2 * REVIEW_INTERVAL_MS
-"""The longest time without a free slot while a connection is idle; see `ConnectionPolicy`."""
+"""Longest time without a free slot while a connection is idle; see `ConnectionPolicy`."""
 
 CLOSED_BY_ROUTER = (
     CloseReason.CAPACITY,
@@ -43,22 +43,22 @@
     CloseReason.ADDRESS_QUOTA,
     CloseReason.DESCRIPTORS,
 )
-"""Closes of connections that their clients might have used again."""
+"""Reasons of closes by the router after which the client may open a connection again."""
 
 
 class ConnectionPolicy:
-    """The decisions of one router on its client connections.
+    """Decides which client connections of one router are closed.
 
-    The bound: while a connection is idle, clients are without a free slot for `MAX_TIME_WITHOUT_CAPACITY_MS`
-    at most; by `MAX_EVICTION_BACKOFF_MS` more where no client used the slots that were freed before, as with
-    a client that keeps a pool of fixed size.
+    While a connection is idle, clients lack a free slot for at most `MAX_TIME_WITHOUT_CAPACITY_MS`. The bound
+    is `MAX_EVICTION_BACKOFF_MS` longer if no client used the slots that were freed before, for example with a
+    client that keeps a connection pool of fixed size.
 
     Args:
         connection_table: the open connections.
-        descriptors: the descriptors of this process.
-        limits: the operators' settings.
-        descriptor_limit: how many descriptors the process may hold.
-        now: the present time.
+        descriptors: the descriptor budget of this process.
+        limits: the connection settings of the operator file.
+        descriptor_limit: the maximum number of descriptors of the process.
+        now: the current time, milliseconds.
     """
 
     def __init__(
@@ -75,32 +75,32 @@
         self.eviction = EvictionSelector(connection_table, self.headroom)
         self.reuse_history = AddressReuseHistory()
         self.pressure_since: float | None = None
-        self.pressure_reason = CloseReason.CAPACITY  # of the first close under the present pressure
-        self.unclaimed_evictions = 0  # how often slots were freed that no client used
+        self.pressure_reason = CloseReason.CAPACITY  # reason of the first close under pressure
+        self.unclaimed_evictions = 0  # count of evictions whose slots no client used
         self._last_eviction_at = now - PRESSURE_OVER_AFTER_MS
         self._address_window_began_at = now
         self._sample_count = 0
         self._sample_candidates = 0
-        self._unclaimed_since: float | None = None  # when slots were freed that no client has used so far
+        self._unclaimed_since: float | None = None  # time of an eviction whose slots are still unused
         self._eviction_backoff_ms = 0.0
         self._next_eviction_at = now
 
     @property
     def limits(self) -> ConnectionLimits:
-        """The operators' settings."""
+        """The connection settings of the operator file."""
         return self.headroom.limits
 
     def apply_limits(self, limits: ConnectionLimits, descriptor_limit: int) -> None:
-        """Apply other settings, or another limit of descriptors."""
+        """Apply changed connection settings or a changed descriptor limit."""
         self.headroom.apply_limits(limits, descriptor_limit)
 
-    # -------------------------------------------------------------------------------------- what happens
+    # -------------------------------------------------------------------------------------------- events
 
     def record_request(self, record: ConnectionRecord, now: float) -> None:
-        """Record that a request of a connection was begun; to be called after the table's report."""
+        """Record the start of a request; call `ConnectionTable.begin_request` first."""
         if record.request_count == 1:
             if record.request_started_at - record.ready_at <= REQUEST_OPENING_WITHIN_MS and record.peer:
-                # the client opened it as it had a request, and used a slot that may have been freed for it
+                # The client opened the connection for this request and may have used an evicted slot.
                 self.headroom.opening_rate.record_opening(now)
                 self.headroom.limit_estimator.record_opening(now, self.connection_table.client_held_count())
                 self._unclaimed_since = None
@@ -114,24 +114,25 @@
             self._sample_count -= 1
 
     def record_close(self, record: ConnectionRecord) -> None:
-        """Record that a connection was closed; to be called after the table's report."""
+        """Record the close of a connection; call `ConnectionTable.mark_closed` first."""
         if record.is_reuse_sample:
             record.is_reuse_sample = False
             self._sample_count -= 1
         if record.request_count == 1 and record.close_reason is CloseReason.CLIENT_CLOSED:
             self.reuse_history.record_use(record.peer, False)
-        # Only what counts as an opening can be opened again. Guards against a flood of connections that are
-        # rejected before any request, which would make it seem that nobody else needs slots.
+        # Only connections with a request count as openings, so only these count as expected reopenings.
+        # Otherwise a flood of connections that are rejected before any request would push the net opening
+        # rate to zero.
         if record.close_reason in CLOSED_BY_ROUTER and record.request_count and record.peer:
             opening_rate = self.headroom.opening_rate
             opening_rate.expected_reopenings += (
                 1.0 if record.request_count > 1 else opening_rate.reopen_probability
             )
 
-    # ------------------------------------------------------------------------------------------- figures
+    # ------------------------------------------------------------------------------------------- metrics
 
     def capacity(self) -> int:
-        """Return how many connections clients can hold for requests at one time."""
+        """Return the maximum number of connections that clients can hold for requests."""
         return self.headroom.capacity()
 
     def free_slots(self) -> int:
@@ -139,37 +140,37 @@
         return self.headroom.free_slots()
 
     def pressure_snapshot(self, now: float) -> PressureSnapshot:
-        """Return the figures that decisions are based on at present."""
+        """Return the values that the current decisions are based on."""
         return self.headroom.pressure_snapshot(now)
 
     def has_address_over_quota(self) -> bool:
-        """Return whether any address holds more than its quota, and quotas are enforced."""
+        """Return whether quotas are enforced and an address exceeds its quota."""
         return self.headroom.has_address_over_quota()
 
     def should_reject_address(self, peer: str) -> bool:
-        """Return whether a connection that arrives while every slot is taken is closed at once.
+        """Return whether a connection from `peer` is closed at once while no slot is free.
 
-        That is so if its address exceeds its quota. Guards against many connections from one address that
-        keep all others waiting.
+        It is if the address exceeds its quota. Otherwise many connections from one address would keep the
+        clients at all other addresses waiting.
         """
         return self.headroom.has_address_over_quota() and self.headroom.exceeds_quota(peer)
 
     def excess_descriptors(self) -> int:
-        """Return how many descriptors are to be freed now, as more are open than the limit."""
+        """Return how many descriptors to free in this review because more are open than the limit."""
         return _limit_batch(self.descriptors.excess())
 
     def excess_connections(self) -> int:
-        """Return how many client connections are to be closed now, as more are open than their limit."""
+        """Return how many client connections to close in this review because they exceed their limit."""
         return _limit_batch(len(self.connection_table) - self.descriptors.downstream_limit())
 
     # ---------------------------------------------------------------------------- closing with a response
 
     def should_close_after_response(self, record: ConnectionRecord, now: float) -> bool:
-        """Return whether the response that is due on a connection is to end it, and note the reason."""
+        """Return whether to close a connection after its pending response; if so, set `close_reason`."""
         if self.descriptors.excess() or len(self.connection_table) > self.descriptors.downstream_limit():
             return self._mark_for_close(record, CloseReason.DESCRIPTORS, now)
         if self.headroom.is_short_of_slots(now) and self.headroom.has_address_over_quota():
-            # the others do not pay for an address that holds too many
+            # Connections of addresses within their quota stay open.
             return self.headroom.exceeds_quota(record.peer) and self._mark_for_close(
                 record, CloseReason.ADDRESS_QUOTA, now
             )
@@ -180,7 +181,7 @@
         )
 
     def _is_slot_needed_before_reuse(self, record: ConnectionRecord, now: float) -> bool:
-        """Return whether the slot of a connection is needed before its next request is expected."""
+        """Return whether other clients need the slot before the expected next request of its connection."""
         time_until_full = self.headroom.time_until_full(now)
         if time_until_full == float("inf"):
             return False
@@ -196,13 +197,14 @@
         return queue.expected_idle_ms(now) > max(QUICK_REUSE_MS, time_until_full)
 
     def _keep_as_sample(self, record: ConnectionRecord) -> bool:
-        """Return whether a connection is kept all the same, as a sample.
+        """Return whether a connection that should be closed is kept as a sample.
 
-        Guards against an assumption that confirms itself: what is always closed is never reused.
+        Without samples the expectation would confirm itself: a connection that is always closed is never
+        reused.
         """
         self._sample_candidates += 1
         if (
-            self._sample_candidates % SAMPLE_EACH
+            self._sample_candidates % CANDIDATES_PER_SAMPLE
             or self._sample_count >= MAX_SAMPLED_FRACTION * self.headroom.capacity()
             or record.is_reuse_sample
         ):
@@ -212,13 +214,13 @@
         return True
 
     def _mark_for_close(self, record: ConnectionRecord, reason: CloseReason, now: float) -> bool:
-        """Note why a connection is closed with its response."""
+        """Set why a connection is closed after its response; return True."""
         record.close_reason = reason
         self._record_pressure(reason, now)
         return True
 
     def _record_pressure(self, reason: CloseReason, now: float) -> None:
-        """Record that a slot is freed."""
+        """Record that a slot is freed under connection pressure."""
         self._last_eviction_at = now
         if self.pressure_since is None:
             self.pressure_since = now
@@ -227,9 +229,9 @@
     # -------------------------------------------------------------------------- closing between requests
 
     def review(self, now: float) -> list[EvictionCandidate]:
-        """Return the connections to close now, because they expired or for capacity.
+        """Return the connections to close now because they expired or because capacity is needed.
 
-        The caller closes those of them on which no unread bytes have arrived.
+        The caller closes those of them that have no unread received bytes.
         """
         self._update_estimates(now)
         reasons = dict(self.eviction.select_expired(now))
@@ -244,7 +246,7 @@
         return [EvictionCandidate(record, reason) for record, reason in reasons.items()]
 
     def _update_estimates(self, now: float) -> None:
-        """Advance the estimates to the present time."""
+        """Advance all estimates to `now`."""
         elapsed_ms = self.headroom.opening_rate.update(now)
         if elapsed_ms <= 0:
             return
@@ -254,7 +256,7 @@
         )
         self.headroom.limit_estimator.advance_time(now)
         for queue in idle.all():
-            queue.expected_idle_ms(now)  # accrues the idle time up to now
+            queue.expected_idle_ms(now)  # called to accrue idle time up to `now`
             queue.decay(elapsed_ms)
         if now - self._address_window_began_at >= ADDRESS_WINDOW_MS:
             self._address_window_began_at = now
@@ -262,10 +264,10 @@
         self._back_off_if_unclaimed(now)
 
     def _back_off_if_unclaimed(self, now: float) -> None:
-        """Pause closing for capacity if no client used the slots that were freed.
+        """Pause evictions for capacity if no client used the slots that were freed.
 
-        Guards against a client that keeps a pool of fixed size and opens at once what is closed, without a
-        request: closing would become a storm of reconnects.
+        Without the pause, a client that keeps a connection pool of fixed size and reconnects at once without
+        a request would cause an endless series of evictions and reconnects.
         """
         if self._unclaimed_since is None or now - self._unclaimed_since < CLAIM_WINDOW_MS:
             return
@@ -277,13 +279,15 @@
         self._unclaimed_since = None
 
     def select_for_eviction(self, now: float, is_urgent: bool = True) -> Iterator[EvictionCandidate]:
-        """Return connections that may be closed for one that is needed more, the least useful first.
+        """Return connections that may be closed to free a descriptor, the least valuable first.
 
-        Unless `is_urgent`, only those that would hardly be missed.
+        Args:
+            now: the current time, milliseconds.
+            is_urgent: whether to include connections that are likely to be reused soon.
         """
         return self.eviction.select_on_demand(now, is_urgent)
 
 
 def _limit_batch(excess: int) -> int:
-    """Return how many are closed at one review, so that a lowered limit causes no storm of closes."""
+    """Return how many to close in one review, so that a lowered limit does not close all at once."""
     return min(max(0, excess), max(MIN_EXCESS_CLOSES, int(excess * EXCESS_CLOSE_FRACTION)))
--- a/rosepick/net/listener.py
+++ b/rosepick/net/listener.py
@@ -357,7 +357,7 @@
         """Close a connection, unless unread data shows that a request begins; return whether it closed."""
         if record.state is ConnectionState.CLOSED:
             return False
-        connection = record.driver
+        connection = record.owner
         assert isinstance(connection, ClientConnection)
         is_lingering = record.state is ConnectionState.LINGERING
         if not is_lingering and connection.close_denial(reason is CloseReason.STALLED_REQUEST) is not None:
