--- a/rosepick/net/accept_queue.py
+++ b/rosepick/net/accept_queue.py
@@ -1,4 +1,4 @@
-"""State of the kernel's accept queue, in which connections wait for accept(); Linux only."""
+"""State of the kernel's accept queue, which holds connections until accept(); Linux only."""
 
 from __future__ import annotations
 
@@ -10,45 +10,45 @@
 from pathlib import Path
 from typing import NamedTuple
 
-# struct tcp_info: eight bytes, then 32-bit counts. Of a listening socket the fifth (tcpi_unacked) is the
-# length of its queue and the sixth (tcpi_sacked) the backlog; see tcp_get_info() in the kernel.
+# struct tcp_info: eight bytes, then 32-bit counts. For a listening socket the fifth count (tcpi_unacked) is
+# the queue length, and the sixth (tcpi_sacked) is the backlog; see tcp_get_info() in the kernel.
 _TCP_INFO = struct.Struct("=8x4x4x4x4xII")
 _NETSTAT = Path("/proc/net/netstat")
 
 
 class QueueLength(NamedTuple):
-    """The accept queue of one listening socket, in connections."""
+    """Length and limit of one accept queue, in connections."""
 
     queued: int
     backlog: int
 
 
 class AcceptQueueAge:
-    """Since when the connections at the head of an accept queue can have waited there at most.
+    """Computes an upper bound for how long accepted connections waited in an accept queue.
 
-    The queue is first in, first out: a connection that is accepted after all that were in the queue at some
-    time came after that time. Times are milliseconds.
+    The queue is first in, first out: a connection that is accepted after all connections that were queued at
+    some time arrived after that time. Times are milliseconds.
 
     Args:
-        now: the present time.
+        now: the current time.
     """
 
     __slots__ = ("_accepted_total", "_is_empty", "_marks", "_since")
 
     def __init__(self, now: float) -> None:
-        self._since = now  # the next connection came after this time
+        self._since = now  # the next accepted connection arrived after this time
         self._is_empty = True
         self._accepted_total = 0
-        # times, each with how many connections had come until then; the earliest first
+        # pairs of a time and the number of connections that had arrived until then; the earliest first
         self._marks: deque[tuple[float, int]] = deque()
 
     def begin_batch(self, now: float, ready_since: float, length: QueueLength | None) -> None:
-        """Record that connections are going to be accepted.
+        """Record the start of a batch of accepts.
 
         Args:
-            now: the present time.
-            ready_since: a time at which nothing was in the queue, if the last batch has emptied it.
-            length: the present queue; None if the system does not tell.
+            now: the current time.
+            ready_since: a time at which the queue was empty, provided that the previous batch emptied it.
+            length: the current queue length; None if the system does not provide it.
         """
         if self._is_empty:
             self._since = max(self._since, ready_since)
@@ -61,7 +61,7 @@
         self._marks.append((now, arrived_total))
 
     def record_accept(self) -> float:
-        """Record an accept; return the time before which its client cannot have connected."""
+        """Record an accept; return a lower bound for the time at which its client connected."""
         self._accepted_total += 1
         while self._marks and self._marks[0][1] < self._accepted_total:
             self._since = self._marks.popleft()[0]
@@ -86,7 +86,7 @@
 def overflows(path: Path = _NETSTAT) -> int | None:
     """Return how many connections found a full accept queue; None where the system does not provide it.
 
-    The count is that of all listening sockets of this machine since its start.
+    The count covers all listening sockets of this machine since its start.
     """
     with contextlib.suppress(OSError, ValueError):
         lines = [line.split() for line in path.read_text("ascii").splitlines()]
--- a/rosepick/net/admin_listener.py
+++ b/rosepick/net/admin_listener.py
@@ -1,4 +1,4 @@
-"""The admin listener: answers operators, with descriptors and loop time that clients cannot exhaust."""
+"""Admin listener for operators, with descriptors and loop time that clients cannot exhaust."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from .tcp_stream import TcpStream
 
 logger = logging.getLogger(__name__)
-MAX_CONNECTIONS = 12  # at one time; another one closes the oldest
+MAX_CONNECTIONS = 12  # maximum number of open connections; a further one closes the oldest
 RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 4  # its connections, the listening socket, the urgent selector
-CONNECTION_TIMEOUT_MS = 5_000.0  # for sending a command and reading the reply
-DESCRIPTOR_LIMIT = 1024  # of its own budget; connections are limited by `MAX_CONNECTIONS`
-BACKLOG = 64
+CONNECTION_TIMEOUT_MS = 5_000.0  # time for an operator to send a command and to read the reply
+DESCRIPTOR_LIMIT = 1024  # limit of the listener's own budget; `MAX_CONNECTIONS` limits the connections
+BACKLOG = 64  # length of the accept queue, in connections
 
 
 class AdminConnection:
@@ -56,12 +56,13 @@
         if self.stream.has_unwritten():
             self.stream.set_events(WRITE)
         elif self.protocol.is_done:
-            # Keep reading until the operator closes: guards against a reset that overtakes the reply.
+            # Read until the operator closes: a close with unread data sends a reset, which can destroy the
+            # reply.
             self.stream.shutdown_write()
             self.stream.set_events(READ)
 
     def close(self) -> None:
-        """Close the connection, answered or not."""
+        """Close the connection, whether or not the command was answered."""
         self.timeout_timer.cancel()
         self.listener.connections.pop(self, None)
         self.stream.close()
@@ -73,10 +74,10 @@
     def __init__(self, loop: EventLoop, address: tuple[str, int], commands: AdminCommands) -> None:
         self.loop = loop
         self.commands = commands
-        # apart from the budget for clients: guards against connection pressure
+        # Separate from the budget for clients, so that connection pressure does not block operators.
         self.budget = ResourceBudget(DESCRIPTOR_LIMIT)
         self.connections: OrderedDict[AdminConnection, None] = OrderedDict()
-        self.connection_count = 0  # accepted since the start
+        self.connection_count = 0  # connections accepted since the start
         self.sock = listen(address, BACKLOG)
         loop.register(self.sock, READ, self._accept, urgent=True)
         host, port = self.sock.getsockname()[:2]
@@ -94,7 +95,7 @@
             self.connections[AdminConnection(self, sock)] = None
 
     def close(self) -> None:
-        """Close all sockets."""
+        """Close the listening socket and all connections."""
         for connection in list(self.connections):
             connection.close()
         self.loop.unregister(self.sock, urgent=True)
--- a/rosepick/net/batch_connection.py
+++ b/rosepick/net/batch_connection.py
@@ -1,4 +1,4 @@
-"""One client connection of the batch listener: batches and the responses to them."""
+"""One client connection of the batch listener, with its batches and their responses."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from .event_loop import ScheduledCall
 from .tcp_stream import StreamFactory
 
-# its lines belong to the batch listener, also where log lines are rate limited
+# Log lines and their rate limits count as those of the batch listener.
 logger = logging.getLogger(f"{__package__}.batch_listener")
 
-DEADLINE_GRACE_MS = 50.0  # for the router's own 504 before an item is given up here
-ITEM_READ_TIMEOUT_MS = 2_000.0  # for a client to read the item that was written to it ...
-MAX_READ_AFTER_DEADLINE_MS = 10_000.0  # ... and to read them all, after the deadline
-RETRY_AFTER_S = 1.0  # for a batch that is refused
+DEADLINE_GRACE_MS = 50.0  # time after the deadline for the 504 of the router, before the item gets one here
+ITEM_READ_TIMEOUT_MS = 2_000.0  # time for a client to read one item that was written
+MAX_READ_AFTER_DEADLINE_MS = 10_000.0  # time after the deadline for a client to read all items
+RETRY_AFTER_S = 1.0  # Retry-After of a batch that is refused
 
 
 class BatchDownstreamConnection(DownstreamConnection):
-    """One client connection of the batch listener; it serves one batch at a time."""
+    """Client connection of the batch listener; it serves one batch at a time."""
 
     def __init__(
         self,
@@ -41,15 +41,15 @@
         self.scheduler = scheduler
         self.max_keys = max_keys
         self.batch: BatchRequest
-        self.deadline = 0.0  # of the batch; milliseconds, on the loop's clock
+        self.deadline = 0.0  # deadline of the batch; milliseconds, on the loop's clock
         self.unwritten_items: deque[BatchItem] = deque()  # in the order of the batch
         self.unsent_items: deque[BatchItem] = deque()
-        self.in_flight = 0  # sent, and not yet written to the client
+        self.in_flight = 0  # items sent to the router and not yet written to the client
         self.item_count = 0
         self.unserved_count = 0
         self._is_active = False
         self._closes_after_batch = False
-        self._slots_in_write = 0  # slots that are free once the current write is complete
+        self._slots_in_write = 0  # slots that become free once the current write completes
         self._deadline_timer: ScheduledCall | None = None
         super().__init__(listener, sock, make_stream)
 
@@ -83,7 +83,7 @@
         self.in_flight = 0
         self._slots_in_write = 0
         self._is_active = True
-        # a pipelined batch will be answered: then this response is not the last
+        # With a pipelined batch, this response is not the last one of the connection.
         self._closes_after_batch = (
             not (self.batch_protocol.has_pipelined() or self.batch_protocol.has_partial_request)
             and self.closes_after_response()
@@ -100,13 +100,13 @@
         )
 
     def shorten_deadline(self, deadline: float) -> None:
-        """Bring the deadline forward, as the router shuts down."""
+        """Move the deadline to an earlier time during a shutdown."""
         if self._is_active and deadline < self.deadline:
             self.deadline = deadline
             self._set_timer()
 
     def _expire_items(self) -> None:
-        """Answer 504 for all items without a response: the deadline has passed."""
+        """Give all items without a response the status 504 after the deadline."""
         self.unsent_items.clear()
         for item in list(self.unwritten_items):
             if not item.status:
@@ -117,7 +117,7 @@
         self.on_item_finished()
 
     def on_item_finished(self) -> None:
-        """Write what can be written, after an item was finished."""
+        """Write finished items and send further ones, after an item was finished."""
         if self._is_active:
             try:
                 self._update_state()
@@ -137,7 +137,7 @@
             self.scheduler.send_items()
 
     def _write_ready_items(self) -> None:
-        """Write finished items in order, one at a time, so that waiting bodies are buffered once."""
+        """Write finished items in order, one at a time, so that waiting bodies are not buffered twice."""
         while self._is_active and self.stream.is_open and not self.stream.has_unwritten():
             self.in_flight -= self._slots_in_write
             self._slots_in_write = 0
@@ -174,14 +174,14 @@
         self._start_next_request()
 
     def _on_end_of_input(self) -> None:
-        """Handle the end of input: the client has left."""
+        """Handle the end of input: the client has closed the connection."""
         if self._is_active:
             self.close()
         else:
             super()._on_end_of_input()
 
     def _handle_fault(self, error: Exception) -> None:
-        """Cut the response to a batch off after an exception: the client notices that it is incomplete."""
+        """Truncate the response to a batch after an exception, so that the client detects the failure."""
         if not self._is_active:
             super()._handle_fault(error)
             return
@@ -190,7 +190,7 @@
         self.close_broken()
 
     def abandon_request(self) -> None:
-        """Give up the batch in progress."""
+        """Abandon the batch in progress."""
         if self._is_active:
             self._clear_batch()
 
@@ -212,5 +212,5 @@
         return self._is_active
 
     def _client_stopped_reading(self, now: float) -> bool:
-        """Whether an item is not being read in time, while others wait for its slot."""
+        """Whether the client does not read an item in time while other items wait for its slot."""
         return now >= self.response_awaited_until
--- a/rosepick/net/batch_listener.py
+++ b/rosepick/net/batch_listener.py
@@ -1,4 +1,4 @@
-"""The batch listener: clients send several reads in one request (docs/multi-get.md)."""
+"""Batch listener, on which clients send several reads in one request (docs/multi-get.md)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class BatchListener:
-    """The batch listener of one router."""
+    """Batch listener of one router."""
 
     def __init__(
         self,
@@ -42,6 +42,6 @@
         return bool(self.scheduler.batches)
 
     def shorten_deadlines(self, deadline: float) -> None:
-        """Bring the deadlines of all batches forward, as the router shuts down."""
+        """Move the deadlines of all batches to an earlier time during a shutdown."""
         for batch in list(self.scheduler.batches):
             batch.shorten_deadline(deadline)
--- a/rosepick/net/batch_scheduler.py
+++ b/rosepick/net/batch_scheduler.py
@@ -1,7 +1,7 @@
-"""Requests for the items of batches: a client of the router's own listener.
+"""Scheduler that sends the items of batches as requests to the router's own listener.
 
-Nothing here knows the engine or the upstream pool: each item is an ordinary request over a connection to
-GW_LISTEN, and is accepted, decided on and counted like that of any other client.
+This module does not use the engine or the upstream pool. Each item is an ordinary request on a connection to
+GW_LISTEN, and is accepted, decided and counted like the request of any other client.
 """
 
 from __future__ import annotations
@@ -22,21 +22,28 @@
 from .resource_budget import ResourceBudget
 from .tcp_stream import OutboundConnection, TcpStream, dial
 
-# its lines belong to the batch listener, also where log lines are rate limited
+# Log lines and their rate limits count as those of the batch listener.
 logger = logging.getLogger(f"{__package__}.batch_listener")
 
-# items in flight, of all batches: the concurrency limits of the endpoints are there for all clients
+# Maximum number of items in flight, over all batches: the concurrency limits of endpoints are shared by all
+# clients.
 MAX_ITEMS_IN_FLIGHT = 8
-DESCRIPTORS_PER_BATCH = 16  # of so many one may be a batch's, and two (both ends) an item's
-SINGLE_BATCH_FRACTION = 0.75  # of the slots that one batch may use alone: the next one finds a free slot
-SHARED_BATCH_FRACTION = 0.5  # of the slots that one batch of several may use
-BUFFERED_BYTES_FRACTION = 0.5  # of the memory for responses that may be used for items
-RESPONSE_COPIES = 4  # of a response at one moment: received and joined, by the router and by its client here
-EXPECTED_SIZE_DECAY = 0.5  # of the expected size of a response, for each smaller one
+# One batch and one item in flight are allowed for each 16 descriptors. A batch needs one, and an item two:
+# both ends of its connection.
+DESCRIPTORS_PER_BATCH = 16
+SINGLE_BATCH_FRACTION = (
+    0.75  # maximum fraction of the slots for a single batch, so that a second finds a free one
+)
+SHARED_BATCH_FRACTION = 0.5  # maximum fraction of the slots for one of several batches
+BUFFERED_BYTES_FRACTION = 0.5  # maximum fraction of the memory for responses that items may use
+RESPONSE_COPIES = 4  # copies of a response at one time: received and joined, in the router and in this client
+EXPECTED_SIZE_DECAY = (
+    0.5  # largest decrease of the expected response size by one smaller response, as a factor
+)
 
 
 class Batch(Protocol):
-    """What the scheduler needs of a batch in progress."""
+    """The interface of a batch in progress towards the scheduler."""
 
     batch: BatchRequest
     deadline: float  # milliseconds, on the loop's clock
@@ -47,23 +54,23 @@
         """Whether the batch is being answered."""
 
     def on_item_finished(self) -> None:
-        """Handle that an item has its response, or will have none."""
+        """Handle an item that has its response or a status in place of one."""
 
     def shorten_deadline(self, deadline: float) -> None:
-        """Bring the deadline forward, as the router shuts down."""
+        """Move the deadline to an earlier time during a shutdown."""
 
 
 @dataclass(slots=True, eq=False)
 class BatchItem:
-    """One key of a batch, with its request and response."""
+    """One key of a batch, with its request id and response."""
 
     batch: Batch
     key: bytes
     req_id: bytes
     connection: BatchItemConnection | None = None
-    in_flight: bool = False  # it uses one of the slots for items
-    was_resent: bool = False  # it was repeated on a new connection
-    status: int = 0  # of the response; 0 until there is one
+    in_flight: bool = False  # whether it occupies one of the slots for items
+    was_resent: bool = False  # whether it was repeated on a new connection
+    status: int = 0  # status code of the response; 0 until there is one
     body: bytes = b""
 
 
@@ -78,15 +85,15 @@
         self.buffered_bytes = 0
         self._reader = ResponseReader(batch_protocol.MAX_ITEM_RESPONSE_BYTES)
         self._unsent = memoryview(b"")
-        self._response_begun = False  # some of the current response was received
+        self._response_begun = False  # part of the current response was received
         self.stream = TcpStream(
             scheduler.loop, scheduler.budget, sock, self.on_ready, WRITE, DescriptorUse.BATCH
         )
         self.local_address = sock.getsockname()[:2]
-        scheduler.own_addresses.add(self.local_address)  # the listener must not count it as a client
+        scheduler.own_addresses.add(self.local_address)  # the listener does not count it against any quota
 
     def start(self, item: BatchItem, request: bytes) -> None:
-        """Send the request for an item as soon as the connection is established."""
+        """Send the request for an item once the connection is established."""
         self.item = item
         item.connection = self
         self._reader = ResponseReader(batch_protocol.MAX_ITEM_RESPONSE_BYTES)
@@ -99,11 +106,11 @@
         try:
             step()
         except (OSError, MalformedResponseError):
-            self._handle_break()
+            self._handle_broken_connection()
         except Exception as error:
             self.scheduler.loop.fault_count += 1
             log_exception(logger, "batch_part_fault", error, count=self.scheduler.loop.fault_count)
-            self._handle_break()
+            self._handle_broken_connection()
 
     def _write(self) -> None:
         if self._unsent:
@@ -115,7 +122,7 @@
         if data is None:
             return
         if self.item is None or (not data and not self._response_begun):
-            self._handle_break()
+            self._handle_broken_connection()
             return
         self._response_begun = True
         response = self._reader.feed(data) if data else self._reader.feed_eof()
@@ -124,7 +131,7 @@
         elif data:
             self._set_buffered_bytes(self._reader.buffered_bytes())
         else:
-            self._handle_break()
+            self._handle_broken_connection()
 
     def _set_buffered_bytes(self, byte_count: int) -> None:
         self.scheduler.budget.buffered_bytes += byte_count - self.buffered_bytes
@@ -141,11 +148,11 @@
             self.close()
         self.scheduler.finish_item(item, response.status, response.body)
 
-    def _handle_break(self) -> None:
-        """Give the connection up.
+    def _handle_broken_connection(self) -> None:
+        """Close the connection, and repeat or fail its item.
 
-        An item that the router cannot have read is repeated once, as HTTP/1.1 requires (RFC 9112, 9.3.1): a
-        server may close a connection between requests.
+        A server may close a connection between requests. An item on a reused connection without any response
+        bytes is therefore repeated once, as RFC 9112, 9.3.1 describes.
         """
         item, self.item = self.item, None
         was_unread = self.used and not self._response_begun
@@ -160,7 +167,7 @@
             self.scheduler.finish_item(item, 502)
 
     def close(self) -> None:
-        """Close the connection; the router treats that as a client that has left."""
+        """Close the connection; the router handles this as a disconnect of the client."""
         self.item = None
         self._set_buffered_bytes(0)
         self.scheduler.remove_idle(self)
@@ -169,7 +176,7 @@
 
 
 class BatchItemScheduler:
-    """Sends the items of all batches, so few at a time that ordinary clients keep their slots."""
+    """Sends the items of all batches, few at a time, so that slots remain for ordinary clients."""
 
     def __init__(
         self,
@@ -184,7 +191,7 @@
         self.own_addresses = own_addresses
         self.batches: dict[Batch, None] = {}
         self.idle: list[BatchItemConnection] = []
-        # the worst case until some responses were received
+        # starts at the worst case and decreases with each response
         self.expected_response_bytes = float(batch_protocol.MAX_ITEM_RESPONSE_BYTES)
         self._is_sending = False
 
@@ -205,12 +212,12 @@
         return max(1, min(MAX_ITEMS_IN_FLIGHT, self._max_by_descriptors(), by_bytes))
 
     def add_batch(self, batch: Batch) -> None:
-        """Begin a batch."""
+        """Add a batch, and send its first items."""
         self.batches[batch] = None
         self.send_items()
 
     def remove_batch(self, batch: Batch) -> None:
-        """Forget a batch that has ended."""
+        """Remove a finished batch."""
         if batch in self.batches:
             del self.batches[batch]
             if not self.batches:
@@ -219,11 +226,12 @@
             self.send_items()
 
     def send_items(self) -> None:
-        """Send items while there are free slots, first those of the batch with the fewest in flight.
+        """Send items while there are free slots, first from the batch with the fewest in flight.
 
-        One batch of several takes no more than half of the slots: guards against a client that does not read.
+        One of several batches uses at most half of the slots, so that a client that does not read cannot
+        occupy all.
         """
-        if self._is_sending:  # guards against deep recursion when many items fail at once
+        if self._is_sending:  # avoids deep recursion when many items fail at once
             return
         self._is_sending = True
         try:
@@ -279,19 +287,19 @@
         return BatchItemConnection(self, dial(self.address))
 
     def add_idle(self, connection: BatchItemConnection) -> None:
-        """Keep a connection for the next item, if any batch is in progress."""
+        """Keep a connection for the next item while a batch is in progress, else close it."""
         if self.batches:
             self.idle.append(connection)
         else:
             connection.close()
 
     def remove_idle(self, connection: BatchItemConnection) -> None:
-        """Forget a connection, if it is idle."""
+        """Remove a connection from the idle ones, if it is idle."""
         if connection in self.idle:
             self.idle.remove(connection)
 
     def finish_item(self, item: BatchItem, status: int, body: bytes = b"") -> None:
-        """Record the response to an item, or the status in place of one."""
+        """Record the response to an item, or a status in place of one."""
         if not item.batch.is_active():
             return
         if status == 200:
--- a/rosepick/net/boot_clock.py
+++ b/rosepick/net/boot_clock.py
@@ -1,4 +1,4 @@
-"""A clock for waits of minutes between processes: it also counts while the machine is suspended."""
+"""Clock that also advances while the machine is suspended, for waits of minutes between processes."""
 
 from __future__ import annotations
 
--- a/rosepick/net/capture_output.py
+++ b/rosepick/net/capture_output.py
@@ -1,4 +1,4 @@
-"""Output of a router's capture: the dump to standard error, and the rotating files."""
+"""Output of a router's capture: a dump to standard error, and rotating files."""
 
 from __future__ import annotations
 
@@ -24,17 +24,19 @@
 from .event_loop import EventLoop
 
 logger = logging.getLogger(__name__)
-MAX_PIPE_WRITE_BYTES = select.PIPE_BUF  # a pipe that is ready takes so much atomically, without blocking
-WRITES_PER_STEP = 4
-MAX_UNREAD_BYTES = 4 * MAX_PIPE_WRITE_BYTES  # a quarter of a pipe's default size: the rest is for log lines
-MIN_PAUSE_MS = 1.0  # between steps, doubled up to ...
-MAX_PAUSE_MS = 250.0  # ... this while nothing can be written
-FLUSH_INTERVAL_MS = 250.0
+MAX_PIPE_WRITE_BYTES = select.PIPE_BUF  # largest write that a ready pipe takes atomically, without blocking
+WRITES_PER_STEP = 4  # maximum number of chunks per timer
+# Maximum unread data in the pipe before a further chunk is written: a quarter of a pipe's default size. The
+# rest remains for log lines.
+MAX_UNREAD_BYTES = 4 * MAX_PIPE_WRITE_BYTES
+MIN_PAUSE_MS = 1.0  # pause between steps; doubles while nothing can be written
+MAX_PAUSE_MS = 250.0  # upper bound of that pause
+FLUSH_INTERVAL_MS = 250.0  # interval of the flushes to the capture files
 _FILE_NAME = re.compile(r"capture-([0-9]{8})\.log")
 
 
 class CaptureOutput:
-    """The capture of one router: its recorder and its outputs."""
+    """Capture of one router, with its recorder and its outputs."""
 
     def __init__(
         self,
@@ -56,15 +58,15 @@
         self._files = None if folder is None else CaptureFiles(loop, self.recorder, Path(folder), segments)
 
     def dump(self, fd: int = 2) -> None:
-        """Dump the ring to standard error (SIGUSR2), a chunk whenever it can be written."""
+        """Start to dump the ring to standard error (SIGUSR2), in chunks that do not block."""
         if self._dump is not None and self._dump.is_running:
-            self._dump.ignored_signals += 1  # logged at the end: a log line now might block
+            self._dump.ignored_signals += 1  # logged at the end of the dump: a log line now could block
             return
         self.recorder.flush()
         self._dump = CaptureDump(self._loop, self.ring, fd)
 
     def close(self) -> None:
-        """Stop a dump, and write and close the files."""
+        """Stop a running dump, and flush and close the files."""
         if self._dump is not None:
             self._dump.is_running = False
         if self._files is not None:
@@ -72,10 +74,10 @@
 
 
 class CaptureDump:
-    """One dump of the ring, as it was at the begin, while recording continues.
+    """Dumps the records that are in the ring at the start, while recording continues.
 
-    Guards against a reader of standard error that blocks the loop: a chunk is written only when the
-    descriptor takes it at once, and while little is unread there, so that log lines can be written too.
+    A chunk is written only if the descriptor accepts it without blocking and holds little unread data. So a
+    slow reader of standard error cannot block the loop, and log lines can still be written.
     """
 
     def __init__(self, loop: EventLoop, ring: LineRing, fd: int) -> None:
@@ -88,11 +90,11 @@
         self.written_bytes = 0
         self.ignored_signals = 0
         self._pause_ms = MIN_PAUSE_MS
-        self._unwritten = b""  # of a chunk that was written in part
+        self._unwritten = b""  # rest of a chunk that was written partially
         loop.call_after(0.0, self._step)
 
     def _step(self) -> None:
-        """Write up to `WRITES_PER_STEP` chunks; the pause grows while none can be written."""
+        """Write up to `WRITES_PER_STEP` chunks; the pause doubles while none can be written."""
         written_chunks = 0
         try:
             while self.is_running and written_chunks < WRITES_PER_STEP and accepts_write(self.fd):
@@ -108,7 +110,7 @@
             self.loop.call_after(self._pause_ms, self._step)
 
     def _write_chunk(self) -> None:
-        """Write one chunk of complete lines, or finish the dump."""
+        """Write one chunk of complete lines, or finish the dump if none is left."""
         if self._unwritten:
             self._unwritten = self._unwritten[os.write(self.fd, self._unwritten) :]
             return
@@ -124,13 +126,13 @@
             )
             return
         count = os.write(self.fd, chunk)
-        self._unwritten = bytes(chunk[count:])  # a non-blocking descriptor may take a part
+        self._unwritten = bytes(chunk[count:])  # a non-blocking descriptor may accept a part
         self.written_bytes += len(chunk)
         self.position = next_position
 
 
 def accepts_write(fd: int) -> bool:
-    """Whether a chunk can be written to a descriptor without blocking, and little is unread there."""
+    """Whether a descriptor accepts a chunk without blocking and holds little unread data."""
     poll = select.poll()
     poll.register(fd, select.POLLOUT)
     ready = poll.poll(0)
@@ -138,7 +140,7 @@
 
 
 def _unread_bytes(fd: int) -> int:
-    """Return the bytes that were written and not yet read; 0 where the system does not provide it."""
+    """Return the number of written and not yet read bytes; 0 if the system does not provide it."""
     count = array("i", [0])
     is_pipe = stat.S_ISFIFO(os.fstat(fd).st_mode)
     try:
@@ -149,9 +151,9 @@
 
 
 class CaptureFiles:
-    """Rotating files: one for each segment of the ring, of which the oldest is removed.
+    """Writes rotating files, one for each segment of the ring, and removes the oldest ones.
 
-    Numbering continues after a restart. A write that fails is logged; the next segment tries again.
+    The numbering continues after a restart. A failed write is logged, and the next segment opens a new file.
     """
 
     def __init__(self, loop: EventLoop, recorder: CaptureRecorder, folder: Path, max_files: int) -> None:
@@ -162,7 +164,7 @@
         self.ring = recorder.ring
         self.position = Position(0, 0)
         self._fd: int | None = None
-        self._segment = -1  # of the open file, or whose file could not be written
+        self._segment = -1  # segment of the open file, or of the file that failed
         self.ring.before_eviction = self._write_new_records
         loop.call_after(FLUSH_INTERVAL_MS, self._flush_periodically)
 
@@ -171,7 +173,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write the records that were made since the last flush."""
+        """Write all records since the last flush."""
         self.recorder.flush()
         self._write_new_records()
 
@@ -203,12 +205,12 @@
             while written < len(chunk):
                 written += os.write(self._fd, chunk[written:])
         except OSError:
-            with contextlib.suppress(OSError):  # leave no partial line
+            with contextlib.suppress(OSError):  # remove a partially written line
                 os.ftruncate(self._fd, size_before)
             raise
 
     def _open_next_file(self) -> None:
-        """Open the next file; the oldest is removed first, so that a full disk has space for it."""
+        """Open the next file; the oldest is removed first, to make space on a full disk."""
         self._close_file()
         names = sorted(name for name in os.listdir(self.folder) if _FILE_NAME.fullmatch(name))
         for name in names[: max(0, len(names) - self.max_files + 1)]:
--- a/rosepick/net/client_connection.py
+++ b/rosepick/net/client_connection.py
@@ -1,4 +1,4 @@
-"""Lifetime of one client connection: its events, its timeouts and its close."""
+"""One client connection: its socket events, timeouts and close."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from .tcp_stream import NO_PROGRESS_TIMEOUT_MS, StreamFactory
 
 logger = logging.getLogger(__name__)
-# other closes follow from what the client or an upstream did
+# Closes that the router decides itself; all others are caused by the client or an upstream.
 CLOSES_AT_OWN_WILL = frozenset(
     {
         CloseReason.NOT_WORTH_KEEPING,
@@ -36,15 +36,16 @@
         CloseReason.SHUTDOWN,
     }
 )
-LINGER_MS = 500.0  # to read on after a response that precedes the request's end: a reset could overtake it
-LATE_FIRST_REQUEST_MS = 500.0  # for the rest of a first request that began late
-BODY_STALL_TIMEOUT_MS = 1_000.0  # without a byte of a body, once the time for its head has passed
-MIN_BODY_BYTES_PER_MS = 32.0  # average rate of a body from then on: half of what a slow client sends
-UNREAD_RESPONSE_TIMEOUT_MS = 3_000.0  # without progress of a buffered response that nobody waits for any more
+# Time to keep reading after the last response: with unread data, a close sends a reset, which can destroy it.
+LINGER_MS = 500.0
+LATE_FIRST_REQUEST_MS = 500.0  # minimum time for the rest of a first request whose first bytes arrive late
+BODY_STALL_TIMEOUT_MS = 1_000.0  # maximum time without a body byte, once the head's timeout has passed
+MIN_BODY_BYTES_PER_MS = 32.0  # minimum average body rate from then on: half the rate of a slow client
+UNREAD_RESPONSE_TIMEOUT_MS = 3_000.0  # maximum time without write progress after the response was due
 
 
 class ConnectionHost(Protocol):
-    """What a client connection needs of the listener that accepted it."""
+    """The interface of a listener towards its client connections."""
 
     loop: EventLoop
     budget: ResourceBudget
@@ -67,17 +68,17 @@
     def record_request(self, connection: ClientConnection) -> None:
         """Record that a connection has begun to serve a request."""
 
-    def forget(self, connection: ClientConnection, reason: CloseReason) -> None:
-        """Remove a connection that closes, for the given reason."""
+    def remove_connection(self, connection: ClientConnection, reason: CloseReason) -> None:
+        """Remove a connection that is being closed for `reason`."""
 
     def set_reading(self, connection: ClientConnection, enabled: bool) -> None:
-        """Set whether a connection is read."""
+        """Set whether the loop waits for data on a connection."""
 
 
 class ClientConnection(ABC):
-    """One client connection, without the requests that it carries."""
+    """Handles the events and timeouts of one client connection; subclasses handle its requests."""
 
-    record: ConnectionRecord  # its entry in the connection table
+    record: ConnectionRecord  # entry in the connection table
 
     def __init__(self, listener: ConnectionHost, sock: socket.socket, make_stream: StreamFactory) -> None:
         self.listener = listener
@@ -85,16 +86,16 @@
         self.stalled_since: float | None = None
         self.response_awaited_until = listener.loop.now() + listener.request_timeout_ms
         self._linger_timer: ScheduledCall | None = None
-        self.response_body: BodyStream | None = None  # of the response that is being streamed
+        self.response_body: BodyStream | None = None  # body of the response that is being streamed
         self.last_received_at = 0.0
-        self.received_since = 0.0  # before which the data received last cannot have arrived
-        self.accepted_since = listener.loop.now()  # before which its client cannot have connected
+        self.received_since = 0.0  # earliest possible arrival of the latest data
+        self.accepted_since = listener.loop.now()  # earliest possible connect of the client
         self.has_read = False
         self._peer_closed = False  # the client has ended its side of the connection
         self.stream = make_stream(listener.loop, listener.budget, sock, self.on_ready)
 
     def make_protocol(self) -> ServerProtocol:
-        """Create the parser of this connection's requests."""
+        """Create the protocol parser of this connection."""
         listener = self.listener
         return ServerProtocol(lambda: listener.names, listener.budget.body_buffers)
 
@@ -104,27 +105,27 @@
 
     @abstractmethod
     def _write_body(self) -> None:
-        """Write received data of a streamed response."""
+        """Write data of a streamed response that was received from the upstream."""
 
     @abstractmethod
     def _start_next_request(self) -> None:
-        """Serve the next request, if none is in hand."""
+        """Serve the next request, if none is in progress."""
 
     @abstractmethod
     def _reject_broken_body(self) -> None:
-        """End the request in hand if its streamed body was rejected."""
+        """Reject the current request if its streamed body is invalid."""
 
     @abstractmethod
     def abandon_request(self) -> None:
-        """Give up the request in hand and the response that is being streamed."""
+        """Abandon the current request and the response that is being streamed."""
 
-    def request_in_hand(self) -> str:
-        """Return the client's id of the request in hand, for the log; empty if there is none."""
+    def current_client_id(self) -> str:
+        """Return the client's id of the current request, for the log; empty if there is none."""
         return ""
 
     @abstractmethod
     def _handle_fault(self, error: Exception) -> None:
-        """Answer 500 after an exception, and close the connection; the process continues."""
+        """Send a 500 response after an exception, if one is due, and close the connection."""
 
     def on_ready(self, events: int) -> None:
         """Handle events of the socket."""
@@ -143,7 +144,7 @@
     # ---------------------------------------------------------------------------------- connection state
 
     def _update_state(self) -> None:
-        """Set the events to wait for; begin the close once everything is answered and written."""
+        """Set the socket events to wait for; start the close once all responses are written."""
         if not self.stream.is_open:
             return
         unwritten = self.stream.has_unwritten()
@@ -162,8 +163,9 @@
         if self._peer_closed and not unwritten and self._linger_timer is None and self.response_body is None:
             self.close()  # every response was written
             return
-        # Guards against clients that fill the memory with pipelined requests: these stay in the socket. One
-        # that has ended its side of the connection stays readable for ever, without data.
+        # Do not read while the pipeline is full: pipelined requests stay in the socket and do not fill the
+        # memory. Do not wait for data after the client's end of input: the socket stays readable without
+        # data.
         body = self.protocol.body_stream
         is_full = (
             self.protocol.pipeline_is_full()
@@ -175,10 +177,10 @@
         self.stream.set_events((READ if reads else 0) | (WRITE if unwritten else 0))
 
     def _request_started_at(self, now: float) -> float:
-        """Return the time from which receiving the request counts; data that trickles in does not reset it.
+        """Return the time at which the request timeout starts; later data does not restart it.
 
-        The first request counts from the begin of the connection, as a client that sends nothing may not stay
-        much longer either, but has `LATE_FIRST_REQUEST_MS` in any case.
+        For the first request it starts when the connection is accepted, because a client that sends nothing
+        may not stay much longer either. The rest of a first request has at least `LATE_FIRST_REQUEST_MS`.
         """
         config = self.listener.config
         if (
@@ -189,7 +191,7 @@
         return max(self.record.opened_at, now - config.request_timeout_ms + LATE_FIRST_REQUEST_MS)
 
     def _client_stopped_reading(self, now: float) -> bool:
-        """Whether the response is not being read: guards against memory held for nobody."""
+        """Whether the client does not read its response, which would occupy memory indefinitely."""
         idle_ms = now - self.stream.last_write_at
         return idle_ms >= NO_PROGRESS_TIMEOUT_MS or (
             self.response_body is None
@@ -198,13 +200,13 @@
         )
 
     def _client_stopped_sending(self, now: float, since: float) -> bool:
-        """Whether a request is not being received: its head in time, its body at the minimum rate."""
+        """Whether the client sends its request head too late or its body below the minimum rate."""
         protocol = self.protocol
         overdue_ms = now - since - self.listener.request_timeout_ms
         if overdue_ms < 0 or (protocol.response_pending and protocol.body_stream is None):
             return False
         if protocol.body_stream is not None and protocol.body_stream.is_paused:
-            self.stalled_since = now - self.listener.request_timeout_ms  # it is this side that does not read
+            self.stalled_since = now - self.listener.request_timeout_ms  # this router has paused reading
             return False
         return (
             protocol.is_in_head()
@@ -213,7 +215,7 @@
         )
 
     def check_timeouts(self, now: float) -> None:
-        """Close the connection if a partial request or an unread response holds it for too long."""
+        """Close the connection if a partial request or an unread response exceeds its timeout."""
         if self.stalled_since is None:
             return
         if self.stream.has_unwritten():
@@ -233,11 +235,11 @@
         self.close(CloseReason.SLOW_CLIENT)
 
     def close_denial(self, may_drop_partial: bool = False, is_new: bool = False) -> Denial | None:
-        """Return why the router may not close the connection at its own will; None if it may.
+        """Return why the router may not close the connection on its own initiative; None if it may.
 
         Args:
-            may_drop_partial: a request that has begun to arrive is no reason to keep it, as it has stalled.
-            is_new: its first request may be on the way.
+            may_drop_partial: whether a partial request, which has stalled, may be dropped.
+            is_new: whether its first request may be in transit.
         """
         has_work = not (self.stream.has_nothing_to_read() if may_drop_partial else self.is_idle())
         return check_close(
@@ -249,7 +251,7 @@
         )
 
     def is_idle(self) -> bool:
-        """Whether the connection is between requests, with nothing unwritten or unread."""
+        """Whether the connection is between requests, without unwritten or unread data."""
         stream = self.stream
         return (
             self.protocol.is_idle()
@@ -258,27 +260,29 @@
         )
 
     def close_gracefully(self, reason: CloseReason) -> None:
-        """Close an idle connection after reading, and dropping, what the client still sends.
+        """Close an idle connection after reading and dropping any data that still arrives.
 
-        A request that crosses the close is not answered; its client repeats it elsewhere. Guards against a
-        close with unread data: that is a reset, which can destroy the last response.
+        A request that arrives during the close is not answered; its client repeats it on another connection.
+        A close with unread data would send a reset, which can destroy the last response.
         """
         self.record.close_reason = reason
         self.protocol.close()
         self._update_state()
 
     def close(self, reason: CloseReason = CloseReason.CLIENT_CLOSED) -> None:
-        """Close the connection; the client notices an incomplete response."""
+        """Close the connection; the client can detect an incomplete response."""
         self._check_close(reason)
         self.abandon_request()
         if self._linger_timer is not None:
-            self._linger_timer.cancel()  # guards against closed connections that a timer keeps in memory
+            self._linger_timer.cancel()  # otherwise the timer keeps the closed connection in memory
         self.protocol.close()
-        self.listener.forget(self, reason)  # first: closing the stream may accept another connection at once
+        # Before the stream: its close releases a descriptor, and the listener may accept a connection at
+        # once.
+        self.listener.remove_connection(self, reason)
         self.stream.close()
 
     def _check_close(self, reason: CloseReason) -> None:
-        """Log a close that takes a client's answer away; count it if it is at the router's own will."""
+        """Log a close before a due response; record a violation if the router decided it itself."""
         owes_answer = self.protocol.response_pending or self.stream.has_unwritten()
         if owes_answer:
             log_event(
@@ -286,7 +290,7 @@
                 logging.INFO,
                 "connection_closed_unanswered",
                 reason=(self.record.close_reason or reason).value,
-                client_id=self.request_in_hand(),
+                client_id=self.current_client_id(),
                 unwritten=self.stream.has_unwritten(),
                 open_ms=self.listener.loop.now() - self.record.opened_at,
             )
@@ -296,6 +300,6 @@
             record_violation(f"close_{denial.value}", reason=reason.value)
 
     def close_broken(self) -> None:
-        """Close a connection that broke."""
+        """Close the connection after a network error."""
         self.abandon_request()
         self.close(CloseReason.CONNECTION_LOST)
--- a/rosepick/net/connection_report.py
+++ b/rosepick/net/connection_report.py
@@ -1,4 +1,4 @@
-"""Log lines about the client connections of a router: counts, connection pressure, accept queues."""
+"""Log lines about client connections: counts, connection pressure and accept queues."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from ..logs import log_event
 from . import accept_queue
 
-# its lines belong to the listener, also where log lines are rate limited
+# Log lines and their rate limits count as those of the listener.
 logger = logging.getLogger(f"{__package__}.listener")
 
 
 class ConnectionReport:
-    """Logs what happens to client connections."""
+    """Logs the counts of client connections, connection pressure and overflows of accept queues."""
 
     def __init__(self, table: ConnectionTable, policy: ConnectionPolicy, budget: DescriptorBudget) -> None:
         self._table = table
         self._policy = policy
         self._budget = budget
-        self._pressure_since: float | None = None  # of the pressure whose begin was logged
+        self._pressure_since: float | None = None  # start of the connection pressure that was logged
         self._closed_counts_before: dict[CloseReason, int] = {}
         self._unclaimed_evictions = 0
         self._overflow_count = accept_queue.overflows()
 
     def log_pressure(self, now: float) -> None:
-        """Log when connection pressure begins and ends, and evictions that turned out to be needless."""
+        """Log the start and end of connection pressure, and evictions whose slots no client used."""
         since = self._policy.pressure_since
         if since is not None and self._pressure_since is None:
             self._log_pressure_begin(now)
@@ -76,7 +76,7 @@
         )
 
     def log_summary(self) -> None:
-        """Log the counts of connections by kind, close reason, listener and purpose."""
+        """Log the counts of connections by kind, close reason and listener, and of descriptors by use."""
         closed = {f"closed_{reason.name.lower()}": n for reason, n in self._table.closed_by_reason.items()}
         listeners = {f"listener_{name}": n for name, n in self._table.open_by_listener.items()}
         purposes = {
@@ -97,10 +97,10 @@
         )
 
     def log_queue_overflows(self, sockets: Iterable[tuple[str, socket.socket]]) -> None:
-        """Log if connections found a full accept queue: their clients wait a second or more.
+        """Log overflows of accept queues since the last call; affected clients wait a second or more.
 
         Args:
-            sockets: names and listening sockets of this router; none once they are closed.
+            sockets: the names and listening sockets of this router; empty once they are closed.
         """
         overflows = accept_queue.overflows()
         before, self._overflow_count = self._overflow_count, overflows
--- a/rosepick/net/discovery_connection.py
+++ b/rosepick/net/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the discovery service, with one poll at a time."""
+"""One connection to the discovery service; it carries one poll at a time."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """One call to discovery. Times are milliseconds of the event loop's clock."""
+    """One request to discovery. Times are milliseconds on the event loop's clock."""
 
     number: int
     request: bytes
-    after_revision: int | None  # None: for the full list
-    timeout_ms: float  # until its response is overdue, counted from when it can be written
+    after_revision: int | None  # None requests the full list
+    timeout_ms: float  # time from the write of the request until its response is overdue
     begun_at: float
 
 
 class DiscoveryConnection:
-    """One connection; it reports each reply, an overdue one, and its own failure.
+    """Sends polls, and reports replies, overdue responses and failures of the connection.
 
     Args:
         loop: the event loop.
-        budget: the descriptors.
+        budget: the descriptor budget.
         address: host and port of the service.
-        on_reply: gets a list, parsed but not validated.
-        on_overdue: the poll has no response in time; one may still come.
-        on_failure: the connection cannot be used any more; gets the reason.
+        on_reply: called with each list, parsed but not validated.
+        on_overdue: called if a response is not received in time; it may still arrive later.
+        on_failure: called with the reason if the connection can no longer be used.
     """
 
     def __init__(
@@ -64,10 +64,10 @@
         self._timer: ScheduledCall | None = None
 
     def send(self, poll: Poll) -> None:
-        """Begin a poll; connect first if there is no connection yet.
+        """Start a poll; connect first if necessary.
 
         Raises:
-            OSError: the connection cannot be made, or broke.
+            OSError: the connect failed, or the connection broke.
         """
         self.poll = poll
         self._unsent = poll.request
@@ -79,14 +79,14 @@
             self._write()
 
     def close(self) -> None:
-        """Close the connection; nothing is reported any more."""
+        """Close the connection; no callback is called afterwards."""
         self._cancel_timer()
         stream, self._stream = self._stream, None
         if stream is not None:
             stream.close()
 
     def _dial(self) -> None:
-        """Connect; a client's descriptor is reclaimed if needed, as there is no upstream without a list."""
+        """Connect; reclaim a descriptor if necessary, as the router has no upstreams without a list."""
         if not self._budget.ensure_available(DescriptorUse.DISCOVERY):
             raise OSError(errno.EMFILE, "no descriptor for discovery")
         self._set_timer(CONNECT_TIMEOUT_MS, lambda: self._fail("no connection"))
@@ -95,7 +95,7 @@
         self._stream = TcpStream(
             self._loop, self._budget, sock, self._on_ready, WRITE, DescriptorUse.DISCOVERY
         )
-        self._loop.prioritize(sock)  # what a busy router sends next depends on the list that may wait there
+        self._loop.prioritize(sock)  # a busy router must apply a waiting list before it sends more requests
 
     def _await_response(self) -> None:
         assert self.poll is not None
@@ -149,7 +149,7 @@
         reply = self._response.feed(data) if data else self._response.feed_eof()
         if reply is None:
             return
-        self._cancel_timer()  # before the list is applied, which may take long
+        self._cancel_timer()  # before the list is applied, which may take a long time
         if not reply.reusable or not data:
             self.close()
         self._on_reply(self, reply)  # ValueError if it is malformed
--- a/rosepick/net/downstream_connection.py
+++ b/rosepick/net/downstream_connection.py
@@ -25,16 +25,16 @@
 
 logger = logging.getLogger(__name__)
 CLOSE_REASON_BY_STATUS = {408: CloseReason.SLOW_CLIENT, 499: CloseReason.CLIENT_CLOSED}
-WRITE_CHUNK_BYTES = 256 * 1024  # of a streamed body that are written at once
-RESPONSE_GRACE_MS = 500.0  # after its deadline nobody waits for a response any more
+WRITE_CHUNK_BYTES = 256 * 1024  # maximum part of a streamed body that is written at once
+RESPONSE_GRACE_MS = 500.0  # time after the deadline until the client no longer waits for the response
 
 
 class DownstreamConnection(ClientConnection):
-    """One client connection with its requests; the port through which the engine answers them."""
+    """Client connection with its requests; implements the port through which the engine answers them."""
 
     def __init__(self, listener: ConnectionHost, sock: socket.socket, make_stream: StreamFactory) -> None:
         self.request: RequestContext | None = None
-        self.request_body: BodyStream | None = None  # of the request in hand
+        self.request_body: BodyStream | None = None  # streamed body of the current request
         super().__init__(listener, sock, make_stream)
 
     def _read(self) -> None:
@@ -62,7 +62,7 @@
         if self.protocol.body_stream is not None:
             self.protocol.body_stream.on_writable = self._update_state
         if self.stream.is_at_end():
-            # before the request is started: guards against forwarding it for a client that has left
+            # Before the request is started, so that it is not forwarded after its client has disconnected.
             self._on_end_of_input()
         self._start_next_request()
         if self.protocol.has_partial_request and not self.protocol.response_pending:
@@ -74,37 +74,37 @@
         self._reject_broken_body()
 
     def _received_since(self) -> float:
-        """Return the time before which none of the data that was just read can have arrived."""
+        """Return a lower bound for the arrival time of the data that was just read."""
         since = self.listener.loop.events_since
-        if not self.has_read:  # it may have arrived while the connection waited to be accepted
+        if not self.has_read:  # the data may have arrived while the connection was in the accept queue
             self.has_read = True
             since = min(since, self.accepted_since)
         return since
 
     def _complete_request(self, request: RequestContext, deadline: float) -> None:
-        """Record that the body of a request was received completely."""
+        """Record that a request body is complete, and set the request's deadline."""
         if request is self.request:
             self.response_awaited_until = deadline + RESPONSE_GRACE_MS
             self.listener.engine.complete_upload(request, deadline)
-        elif not request.ref:  # it waits for the response to an earlier one
+        elif not request.ref:  # pipelined: it waits for the response to an earlier request
             request.is_partial = False
             request.deadline = deadline
 
     def _reject_broken_body(self) -> None:
-        """End the request in hand if its streamed body was rejected."""
+        """Reject the current request if its streamed body is invalid."""
         rejection, self.protocol.body_rejection = self.protocol.body_rejection, None
         if rejection is not None and self.protocol.response_pending:
             self.abandon_request()
             self._reject(rejection.status, rejection.reason, rejection.class_index, last=True)
 
     def _send_continue(self) -> None:
-        """Ask for a body (100 Continue), unless an earlier request is to be answered first."""
+        """Send 100 Continue if a body is awaited and no earlier response is pending."""
         if self.protocol.wants_continue and not self.protocol.response_pending and self.stream.is_open:
             self.protocol.wants_continue = False
             self.stream.send(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _start_next_request(self) -> None:
-        """Serve the next request, if none is in hand."""
+        """Serve the next request, if none is in progress."""
         while (message := self.protocol.next_message()) is not None:
             self.listener.record_request(self)
             self.response_awaited_until = self.listener.loop.now() + self.listener.request_timeout_ms
@@ -122,9 +122,10 @@
                 self._reject(status, reason, class_index)
 
     def _accept_request(self, request: RequestContext) -> None:
-        """Hand a request to the engine.
+        """Pass a request to the engine.
 
-        Guards against an id that another open request has: upstreams would take the two for one.
+        Rejects a request whose id another open request has, because upstreams would treat the two as one
+        request.
         """
         open_ids = self.listener.open_request_ids
         req_id = _request_id(request)
@@ -147,14 +148,14 @@
         self.listener.engine.accept(request, self)
 
     def _client_has_left(self) -> bool:
-        """Look whether the client has closed, or ended its sending, though no event has told so yet."""
+        """Return whether the client has closed the connection, even before the loop reports it."""
         return self._peer_closed or self.stream.is_at_end() or self.stream.peer_has_closed()
 
     def _reject(self, status: int, reason: str, class_index: int | None = None, last: bool = False) -> None:
-        """Answer a request that cannot be accepted.
+        """Send the response to a request that cannot be accepted.
 
-        The connection ends if more requests are pipelined: guards against hundreds of them, each of which
-        would cost a response.
+        The connection closes if more requests are pipelined, as each of hundreds of them could cost a
+        response.
         """
         self.listener.rejected_count += 1
         if class_index is not None:
@@ -163,25 +164,25 @@
         self._send_response(status, reason.encode() + b"\n", last=last or self.protocol.has_pipelined())
 
     def _on_end_of_input(self) -> None:
-        """Handle the end of input: the client has left.
+        """Handle the end of input: the client has closed at least its side of the connection.
 
-        If it has closed only its side of the connection, it still gets a complete response.
+        A streamed response continues, because the client may still read it.
         """
         self._peer_closed = True
         if self.response_body is not None:
-            return  # if it has closed both sides, the next write fails
+            return  # if the client closed both directions, the next write fails
         self.abandon_request()
         if self.protocol.response_pending:
             self._send_response(499, b"", last=True)
         if not (self.stream.has_unwritten() or self.protocol.has_pipelined()):
             self.close()
 
-    def request_in_hand(self) -> str:
-        """Return the client's id of the request in hand, for the log; empty if there is none."""
+    def current_client_id(self) -> str:
+        """Return the client's id of the current request, for the log; empty if there is none."""
         return "" if self.request is None else self.request.client_id
 
     def abandon_request(self) -> None:
-        """Give up the request in hand and the response that is being streamed."""
+        """Abandon the current request and the response that is being streamed."""
         request = self._release_request()
         if request is not None:
             self.listener.engine.handle_disconnect(request)
@@ -190,7 +191,7 @@
             self.response_body = None
 
     def _release_request(self) -> RequestContext | None:
-        """Return the request in hand, and forget it."""
+        """Clear the current request, close its body and return it; None if there is none."""
         request, self.request = self.request, None
         if request is not None:
             self.listener.open_request_ids.discard(_request_id(request))
@@ -201,7 +202,7 @@
 
     # ------------------------------------------------------------------------------ final responses
 
-    # The engine passes the request to each; here it is always the one in hand.
+    # The engine passes the request to each of these methods; here it is always the current one.
 
     def send_response(self, _request: RequestContext, response: object) -> None:
         """Send a complete response."""
@@ -209,7 +210,7 @@
         self._send_final_response(200, response.body, _content_type_header(response.headers))
 
     def start_response_stream(self, _request: RequestContext, response: object) -> None:
-        """Send the head of a response, and its body while it is received."""
+        """Send the head of a response, and stream its body as it arrives."""
         assert isinstance(response, StreamedResponse)
         self.response_body = response.body_stream
         length = response.body_stream.content_length
@@ -228,7 +229,7 @@
             self.close_broken()
 
     def _on_more_body(self) -> None:
-        """Continue a streamed response of which data, the end or a break was received."""
+        """Continue a streamed response after more data, its end or its truncation."""
         try:
             self._write_body()
             self._update_state()
@@ -236,7 +237,7 @@
             self.close_broken()
 
     def _write_body(self) -> None:
-        """Write received data of a streamed response; no more than one chunk of it is buffered here."""
+        """Write data of a streamed response; at most one chunk of it is buffered in the stream."""
         while self.response_body is not None and self.stream.is_open and not self.stream.has_unwritten():
             parts = self.response_body.read(WRITE_CHUNK_BYTES)
             if parts:
@@ -249,7 +250,7 @@
                 break
 
     def _finish_streamed_response(self) -> None:
-        """End a streamed response that is complete."""
+        """Finish a complete streamed response, and start the next request."""
         body, request = self.response_body, self._release_request()
         assert body is not None
         assert request is not None
@@ -261,7 +262,7 @@
         self._start_next_request()
 
     def _abort_streamed_response(self) -> None:
-        """End a streamed response that stays incomplete, so that the client notices it."""
+        """End a truncated response by closing the connection, so that the client detects it."""
         request = self._release_request()
         assert request is not None
         self.listener.engine.end_response_stream(request, False)
@@ -270,16 +271,16 @@
         self.close(CloseReason.TRUNCATED_RESPONSE)
 
     def send_refusal(self, _request: RequestContext, retry_after_ms: float) -> None:
-        """Refuse the request; 0 for no Retry-After header."""
+        """Send a 503 response; without a Retry-After header if `retry_after_ms` is 0."""
         headers = ((b"Retry-After", b"%.3f" % (retry_after_ms / 1000.0)),) if retry_after_ms > 0 else ()
         self._send_final_response(503, b"refused\n", headers)
 
     def send_failure(self, _request: RequestContext, timed_out: bool) -> None:
-        """Report that all attempts failed, or that the deadline passed."""
+        """Send a 504 response after the deadline, or a 502 response if all attempts failed."""
         self._send_final_response(504 if timed_out else 502, b"failed\n")
 
     def send_internal_error(self, _request: RequestContext) -> None:
-        """Report an internal error."""
+        """Send a 500 response."""
         self._send_final_response(500, b"fault\n")
 
     def _send_final_response(self, status: int, body: bytes, extra_headers: ExtraHeaders = ()) -> None:
@@ -302,19 +303,19 @@
             self.record_response(status)
 
     def closes_after_response(self) -> bool:
-        """Whether the connection is to close after the response that is due.
+        """Whether the connection closes after the pending response.
 
-        It is if the router shuts down, or if the slot is needed before the client's next request is expected.
+        It does if the router shuts down, or if the slot is needed before the expected next request.
         """
         return self.listener.is_shutting_down or self.listener.policy.should_close_after_response(
             self.record, self.listener.loop.now()
         )
 
     def record_response(self, status: int) -> None:
-        """Record that the request in hand was answered."""
+        """Record the response to the current request, and set `close_reason` if it is the last one."""
         self.listener.connection_table.record_response(self.record, status)
         if not self.protocol.is_done:
-            self.record.close_reason = None  # a pipelined request is answered first
+            self.record.close_reason = None  # the connection stays open for pipelined requests
         elif self.listener.is_shutting_down:
             self.record.close_reason = CloseReason.SHUTDOWN
         elif self.record.close_reason is None:
@@ -323,23 +324,23 @@
             )
 
     def _handle_fault(self, error: Exception) -> None:
-        """Answer 500 after an exception, and close the connection; the process continues."""
+        """Send a 500 response after an exception, if one is due, and close the connection."""
         self.listener.loop.fault_count += 1
         log_exception(logger, "downstream_fault", error, count=self.listener.loop.fault_count)
         try:
-            # a streamed response that has begun can only be cut off
+            # A streamed response that has started can only be truncated.
             is_due = self.protocol.response_pending and self.response_body is None
             self.protocol.response_pending = False
             self.abandon_request()
             if is_due:
                 self._send_response(500, b"fault\n")
-        except Exception:  # the response could not be sent either
+        except Exception:  # sending the response failed too
             pass
         self.close(CloseReason.INTERNAL_ERROR)
 
 
 def _content_type_header(headers: dict[bytes, bytes]) -> ExtraHeaders:
-    """Return the headers of an upstream's response that are forwarded."""
+    """Return the headers of an upstream response that are forwarded to the client."""
     content_type = headers.get(b"content-type")
     return () if content_type is None else ((b"Content-Type", content_type),)
 
--- a/rosepick/net/endpoint_watch.py
+++ b/rosepick/net/endpoint_watch.py
@@ -1,10 +1,12 @@
-"""Watch of the discovery service: one long poll after another on a persistent connection.
+"""Watch of the endpoint list: consecutive long polls of the discovery service on a persistent connection.
 
-A watch can fall silent without an error. A change counts as notified `MAX_NOTIFICATION_DELAY_MS` after the
-service had it and was reachable; `max_notification_delay_ms` is the sum of the terms of that bound.
+A long poll can stop receiving responses without an error. Discovery counts a change as notified
+`MAX_NOTIFICATION_DELAY_MS` after it has the change and is reachable; `max_notification_delay_ms` computes the
+sum of the delays that must stay below this bound.
 
-A list counts as notified once it was written, also if nobody waits for it any more. So a poll whose response
-is overdue is not given up: the next one is sent on another connection, and the first list to arrive counts.
+Discovery counts a list as notified once it has written the list, even if the router no longer waits for it.
+Therefore a poll whose response is overdue stays open: the next poll uses another connection, and the first
+list to arrive counts.
 """
 
 from __future__ import annotations
@@ -20,33 +22,37 @@
 from .resource_budget import ResourceBudget
 
 logger = logging.getLogger(__name__)
-FIRST_POLL_WAIT_MS = 0.0  # a new watch first polls, without waiting, for what it has missed
-LONG_POLL_WAIT_MS = 2_500.0  # a watch that fell silent is noticed only after it
-RESPONSE_GRACE_MS = 1_500.0  # beyond that wait, on a connection that has responded before
-# for the first response of a new watch: all routers may poll anew, and the service answers in turn, for up to
-# 3 s; a little more, so that an answer of the last moment is not crossed by the next poll
+FIRST_POLL_WAIT_MS = 0.0  # a new watch first polls without waiting, for changes since the held revision
+LONG_POLL_WAIT_MS = 2_500.0  # wait of a long poll; a lost response is detected only after it
+RESPONSE_GRACE_MS = 1_500.0  # time for the response after the wait, on a connection that has responded before
+# Time for the first response of a new watch. All routers may poll at once, and the service answers one after
+# another for up to 3 s. The margin of 100 ms lets a response at the end of the 3 s arrive before the next
+# poll.
 FIRST_RESPONSE_TIMEOUT_MS = 3_100.0
-MAX_NOTIFICATION_DELAY_MS = 6_000.0  # after which a change counts as notified, whatever became of the polls
+MAX_NOTIFICATION_DELAY_MS = (
+    6_000.0  # a change counts as notified after this time, whatever happened to the polls
+)
 
 
 def max_notification_delay_ms(first_retry_ms: float, max_retry_ms: float) -> float:
-    """Return the longest time, in milliseconds, from a change to the poll that delivers it.
+    """Return the longest time, in milliseconds, from a change to the start of the poll that delivers it.
 
-    The time counts from when the service has the change and is reachable. The poll itself has the rest of
-    `MAX_NOTIFICATION_DELAY_MS`.
+    The time starts once the service has the change and is reachable. The rest of `MAX_NOTIFICATION_DELAY_MS`
+    remains for the poll itself.
 
     Args:
-        first_retry_ms: longest delay of the decision module before it polls again after one failure.
-        max_retry_ms: the longest such delay.
+        first_retry_ms: the longest retry delay of the decision module after a single failure, milliseconds.
+        max_retry_ms: the longest retry delay of the decision module after any failure, milliseconds.
     """
-    silent_poll = LONG_POLL_WAIT_MS + RESPONSE_GRACE_MS + first_retry_ms  # it fell silent right at its begin
-    # the service is back just after a poll was sent that is never answered
+    # A poll loses its response right after its start.
+    silent_poll = LONG_POLL_WAIT_MS + RESPONSE_GRACE_MS + first_retry_ms
+    # The service becomes reachable right after a poll was sent that will get no response.
     unanswered_poll = FIRST_RESPONSE_TIMEOUT_MS + max_retry_ms
     return max(silent_poll, unanswered_poll) + CONNECT_TIMEOUT_MS
 
 
 class EndpointWatch:
-    """Follows the endpoint list while watching; a failure ends the watch."""
+    """Polls the endpoint list while enabled; a failure ends the watch until it is enabled again."""
 
     def __init__(
         self,
@@ -64,14 +70,16 @@
         self.on_list = on_list
         self.on_failure = on_failure
         self.is_active = False
-        self.has_responded = False  # the service, whatever it said, since the start or the latest switch
-        self.poll_count = 0  # polls begun since the start; the number of the latest one
+        self.has_responded = False  # any response since the start or the latest switch of the service
+        self.poll_count = 0  # polls since the start; the number of the latest poll
         self._connection: DiscoveryConnection | None = None
-        self._overdue: DiscoveryConnection | None = None  # its poll may still be answered
-        self._needs_full_list = False  # after a switch, until a list was received
+        self._overdue: DiscoveryConnection | None = (
+            None  # connection of an overdue poll, which may still get a response
+        )
+        self._needs_full_list = False  # after a switch of the service, until a list is received
 
     def set_watching(self, enabled: bool) -> None:
-        """Start or stop the watch; one that is active continues as it is."""
+        """Start or stop the watch; enabling an active watch has no effect."""
         if enabled and not self.is_active:
             self.is_active = True
             self._poll(FIRST_POLL_WAIT_MS)
@@ -79,10 +87,10 @@
             self._stop()
 
     def switch_discovery(self, address: tuple[str, int]) -> None:
-        """Follow another discovery service, beginning with its full list.
+        """Watch another discovery service, starting with its full list.
 
-        Guards against the revision held, which means something else there. The held list stays in force, and
-        no failure is reported.
+        The held revision has no meaning for the other service. The held list stays in force, and no failure
+        is reported.
         """
         self._stop()
         self.address = address
@@ -92,12 +100,12 @@
         self._poll(FIRST_POLL_WAIT_MS)
 
     def is_reachable(self) -> bool:
-        """Return whether the service has responded, or has accepted the connection of the present poll."""
+        """Return whether the service has responded, or has accepted the connection of the current poll."""
         connection = self._connection
         return self.has_responded or (connection is not None and not connection.is_connecting)
 
     def _poll(self, wait_ms: float) -> None:
-        """Poll for lists newer than the revision held, or for the full list if that is needed."""
+        """Poll for changes after the held revision, or for the full list after a switch."""
         host = f"{self.address[0]}:{self.address[1]}"
         after_revision = None if self._needs_full_list else self.revision()
         self.poll_count += 1
@@ -129,7 +137,7 @@
             self._on_failed(connection, str(error))
 
     def _on_reply(self, connection: DiscoveryConnection, reply: EndpointListReply) -> None:
-        """Apply a list.
+        """Apply a received list, and start the next poll.
 
         Raises:
             ValueError: the list is malformed.
@@ -158,13 +166,13 @@
             self._poll(LONG_POLL_WAIT_MS)
 
     def _is_outdated(self, poll: Poll, document: SettingsReader) -> bool:
-        """Return whether a newer list arrived meanwhile, as the answer to another poll."""
+        """Return whether another poll has delivered a newer list in the meantime."""
         if self._needs_full_list or poll.after_revision == self.revision():
             return False
         return not document.boolean("all") and document.integer("rev", 0) <= self.revision()
 
     def _on_overdue(self, connection: DiscoveryConnection) -> None:
-        """Report a failure, but keep listening for the answer."""
+        """Report a failure, but keep the connection open for a late response."""
         self._log_failure(connection, "silent")
         self._drop_overdue()
         self._connection, self._overdue = None, connection
@@ -172,7 +180,7 @@
 
     def _on_failed(self, connection: DiscoveryConnection, reason: str) -> None:
         if connection is not self._connection:
-            self._overdue = None  # the next poll is under way, and is all that counts
+            self._overdue = None  # an overdue poll failed, but the next poll is in progress
             return
         self.has_responded = self.has_responded or reason.startswith("status")
         self._log_failure(connection, reason)
@@ -191,7 +199,7 @@
         )
 
     def _end(self) -> None:
-        """End the watch, as its poll failed."""
+        """End the watch after a failed poll."""
         self.is_active = False
         self.on_failure()
 
--- a/rosepick/net/event_loop.py
+++ b/rosepick/net/event_loop.py
@@ -1,4 +1,4 @@
-"""Event loop: a selector for sockets and a heap of timers on the monotonic clock."""
+"""Event loop with a selector for sockets and a heap of timers on the monotonic clock."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 logger = logging.getLogger(__name__)
 READ = selectors.EVENT_READ
 WRITE = selectors.EVENT_WRITE
-MAX_WAIT_S = 1.0  # bound of one wait, in case a wake-up is missed
-CALLS_PER_URGENT_CHECK = 16  # urgent sockets are polled after so many callbacks of others
-LATE_TIMER_WARNING_MS = 50.0  # a timer that is later than this is logged
+MAX_WAIT_S = 1.0  # maximum duration of one wait, in case a wake-up is lost
+CALLS_PER_URGENT_CHECK = 16  # number of other callbacks between two polls of urgent sockets
+LATE_TIMER_WARNING_MS = 50.0  # longer delays of timers are logged
 ReadyCallback = Callable[[int], None]
 ReadySocket = tuple[selectors.SelectorKey, int]
 
@@ -33,7 +33,7 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Cancel the timer; the callback is released at once."""
+        """Cancel the timer, and drop the reference to its callback at once."""
         self.callback = None
 
 
@@ -44,24 +44,23 @@
         self._clock = clock
         self._selector = selectors.DefaultSelector()
         self._urgent_selector: selectors.EpollSelector | None = None
-        self._prioritized: set[int] = set()  # descriptors of sockets that are served first
+        self._prioritized: set[int] = set()  # descriptors of prioritized sockets
         self._heap: list[tuple[float, int, int, ScheduledCall]] = []
         self._timer_count = 0
         self.stopped = False
         self.fault_count = 0
         self.load = LoopLoad(self.now())
         self._polled_at = self.now()  # when the selector last returned
-        # The events of this turn came after this time. It is a lower bound: what had come before was
-        # reported by the poll before.
+        # Lower bound for the arrival time of this turn's events: the previous poll reported all earlier ones.
         self.events_since = self._polled_at
-        self.idle_at = self._polled_at  # when there was nothing to do last
+        self.idle_at = self._polled_at  # the last time at which no socket was ready
 
     def now(self) -> float:
         """Return the monotonic time in milliseconds."""
         return self._clock() * 1000.0
 
     def call_at(self, at_ms: float, callback: Callable[[], None], run_first: bool = False) -> ScheduledCall:
-        """Schedule a call at a time of `now`; with `run_first` before others of the same time."""
+        """Schedule a call at a time on the clock of `now`; `run_first` runs it before others of that time."""
         scheduled = ScheduledCall(callback)
         self._timer_count += 1
         heapq.heappush(self._heap, (at_ms, 0 if run_first else 1, self._timer_count, scheduled))
@@ -74,7 +73,7 @@
     def register(
         self, sock: socket.socket, events: int, callback: ReadyCallback, urgent: bool = False
     ) -> None:
-        """Watch a socket; an urgent one is also served within a long batch of others."""
+        """Watch a socket; an urgent one is also polled during a long batch of callbacks."""
         (self._get_urgent_selector() if urgent else self._selector).register(sock, events, callback)
 
     def modify(self, sock: socket.socket, events: int, callback: ReadyCallback, urgent: bool = False) -> None:
@@ -82,7 +81,7 @@
         (self._get_urgent_selector() if urgent else self._selector).modify(sock, events, callback)
 
     def prioritize(self, sock: socket.socket) -> None:
-        """Serve a watched socket before all others that are ready, and before timers that are late."""
+        """Serve a watched socket before other ready sockets and before late timers."""
         self._prioritized.add(sock.fileno())
 
     def unregister(self, sock: socket.socket, urgent: bool = False) -> None:
@@ -91,7 +90,7 @@
         (self._get_urgent_selector() if urgent else self._selector).unregister(sock)
 
     def _get_urgent_selector(self) -> selectors.EpollSelector:
-        """Return the selector of urgent sockets, which is itself watched by the main selector."""
+        """Return the selector of urgent sockets; the main selector watches it."""
         if self._urgent_selector is None:
             self._urgent_selector = selectors.EpollSelector()
             self._selector.register(self._urgent_selector.fileno(), READ, self._run_urgent_callbacks)
@@ -104,7 +103,7 @@
                     self._run_callback(key.data, events)
 
     def add_signal_handlers(self, handlers: Mapping[int, Callable[[], None]]) -> None:
-        """Run handlers from the loop after signals; once for several of a kind that arrive together."""
+        """Run handlers in the loop after signals; simultaneous signals of one kind run a handler once."""
         receiver, wakeup = socket.socketpair()
         receiver.setblocking(False)
         wakeup.setblocking(False)
@@ -113,18 +112,18 @@
             try:
                 numbers = receiver.recv(4096)  # each byte is the number of a signal
             except (BlockingIOError, InterruptedError):
-                return  # the loop comes back while there is something to read
+                return  # the loop calls this again while data is left
             for number in sorted(set(numbers)):
                 if number in handlers:
                     self._run_callback(handlers[number])
 
         def ignore_signal(number: int, frame: FrameType | None) -> None:
-            """Do nothing: the write to the wake-up socket is all that is needed."""
+            """Ignore the signal; Python writes its number to the wake-up socket."""
 
         signal.set_wakeup_fd(wakeup.fileno(), warn_on_full_buffer=False)
         for number in handlers:
             signal.signal(number, ignore_signal)
-        self._wakeup = wakeup  # keep a reference: the signal module holds only its descriptor
+        self._wakeup = wakeup  # keeps the socket open: the signal module stores only its descriptor
         self.register(receiver, READ, run_handlers)
 
     def stop(self) -> None:
@@ -137,7 +136,7 @@
             self.step(MAX_WAIT_S)
 
     def close(self) -> None:
-        """Drop all timers and close the selectors."""
+        """Discard all timers and close the selectors."""
         self._heap.clear()
         self._selector.close()
         if self._urgent_selector is not None:
@@ -153,16 +152,16 @@
         if self.stopped:
             return
         for number, (key, events) in enumerate(self._prioritized_first(self._poll(wait_s)), 1):
-            # skip sockets that an earlier callback of this batch has closed
+            # Skip sockets that an earlier callback of this batch has closed.
             if self._selector.get_map().get(key.fd) is key:
                 self._run_callback(key.data, events)
-            # guards against deadlines that pass during a long batch of reads
+            # Run timers between callbacks, so that a long batch of reads does not delay deadlines.
             self._run_timers()
             if number % CALLS_PER_URGENT_CHECK == 0:
                 self._run_urgent_callbacks()
 
     def _poll(self, wait_s: float) -> list[ReadySocket]:
-        """Return the sockets that are ready; wait for one if none is."""
+        """Return the ready sockets; wait for up to `wait_s` seconds if there are none."""
         turn_ended_at = self.now()
         ready = self._selector.select(0)
         if ready:
@@ -171,7 +170,7 @@
         else:
             if wait_s > 0:
                 ready = self._selector.select(wait_s)
-            # nothing had been ready, so what is has come just now
+            # No socket was ready before the wait, so all reported events are new.
             self.events_since = self.idle_at = self._polled_at = self.now()
         self.load.end_turn(turn_ended_at, self._polled_at)
         return ready
@@ -182,7 +181,7 @@
         return ready
 
     def _serve_prioritized_if_late(self) -> None:
-        """After the process was held up, read what waits on prioritized sockets before timers act."""
+        """Serve prioritized sockets before timers if these are late, for example after a suspension."""
         if not (self._prioritized and self._heap) or self.now() - self._heap[0][0] <= LATE_TIMER_WARNING_MS:
             return
         for key, events in self._selector.select(0):
@@ -199,7 +198,7 @@
                 self._run_callback(callback)
 
     def _run_callback(self, callback: Callable[..., None], *args: int) -> None:
-        """Run one callback; an exception is logged and must not end the process."""
+        """Run one callback; an exception is logged and does not end the process."""
         began_at = self.now()
         try:
             callback(*args)
--- a/rosepick/net/graceful_shutdown.py
+++ b/rosepick/net/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a router: it accepts for a short while and serves what is pending."""
+"""Graceful shutdown: the router accepts connections for a short time and finishes pending requests."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from .listener import Listener
 
 if TYPE_CHECKING:
-    from .batch_listener import BatchListener  # loaded only where it is configured
+    from .batch_listener import BatchListener  # imported only if it is configured
 
-MIN_ACCEPT_AFTER_SIGTERM_MS = 600.0  # new connections are accepted for at least this time ...
-QUIET_BEFORE_CLOSE_MS = 150.0  # ... and until none arrived for this time ...
-MAX_ACCEPT_AFTER_SIGTERM_MS = 1_000.0  # ... but for no longer than this
-SHUTDOWN_GRACE_MS = 100.0  # after the longest deadline from there the process ends, whatever is pending
-SHUTDOWN_POLL_INTERVAL_MS = 20.0
+MIN_ACCEPT_AFTER_SIGTERM_MS = 600.0  # minimum time during which new connections are accepted
+QUIET_BEFORE_CLOSE_MS = 150.0  # time without a new connection after which the listener may close earlier
+MAX_ACCEPT_AFTER_SIGTERM_MS = 1_000.0  # maximum time during which new connections are accepted
+SHUTDOWN_GRACE_MS = 100.0  # time from the last possible deadline to the forced end of the process
+SHUTDOWN_POLL_INTERVAL_MS = 20.0  # interval of the checks whether requests are pending
 
 
 class GracefulShutdown:
-    """Stops the loop once no request is pending, or the longest deadline has passed."""
+    """Stops the loop once no request is pending or the longest deadline has passed."""
 
     def __init__(
         self,
@@ -33,14 +33,14 @@
         batch_listener: BatchListener | None,
         longest_deadline_ms: Callable[[], float],
     ) -> None:
-        """Create the state of a shutdown that has not begun.
+        """Create the state of a shutdown that has not started.
 
         Args:
-            loop: is stopped at the end.
-            listener: is closed once it may stop accepting.
-            engine: whose pending requests are waited for.
-            batch_listener: whose batches are waited for, if there is one.
-            longest_deadline_ms: returns the longest deadline of any request class.
+            loop: the event loop, which is stopped at the end.
+            listener: the listener, which is closed once it may stop accepting.
+            engine: the engine; the shutdown waits for its pending requests.
+            batch_listener: the batch listener, if any; the shutdown waits for its batches.
+            longest_deadline_ms: returns the longest deadline of any request class, milliseconds.
         """
         self._loop = loop
         self._listener = listener
@@ -50,10 +50,10 @@
         self._started_at = 0.0
 
     def begin(self) -> None:
-        """Begin the shutdown."""
+        """Start the shutdown."""
         self._listener.is_shutting_down = True
         if self._listener.shares_inherited_socket:
-            self._listener.close()  # connections that wait there belong to the new process
+            self._listener.close()  # the new process accepts the connections in its queue
         self._started_at = self._loop.now()
         self._loop.call_after(MIN_ACCEPT_AFTER_SIGTERM_MS, self._continue)
 
@@ -78,17 +78,17 @@
             self._loop.call_after(SHUTDOWN_POLL_INTERVAL_MS, self._continue)
 
     def _may_stop_accepting(self, now: float, longest_ms: float) -> bool:
-        """Return whether to stop accepting.
+        """Return whether the listener may stop accepting.
 
-        Not before batches have their items, which arrive as connections too; batches must be complete when
-        any request must.
+        It must accept while batches are in progress, because their items arrive as connections. Batches are
+        limited to the longest deadline, like all requests.
         """
         elapsed_ms = now - self._started_at
         if self._batch_listener is not None and self._batch_listener.is_active() and elapsed_ms < longest_ms:
             self._batch_listener.shorten_deadlines(self._started_at + longest_ms)
             return False
         if self._listener.has_waiting_connections() and elapsed_ms < longest_ms:
-            return False  # accepts fail for a moment, as without a descriptor: a close would reset what waits
+            return False  # accepts fail temporarily: a close would reset the waiting connections
         return (
             now - self._listener.last_accepted_at >= QUIET_BEFORE_CLOSE_MS
             or elapsed_ms >= MAX_ACCEPT_AFTER_SIGTERM_MS
@@ -96,9 +96,9 @@
 
 
 def _is_new(connection: ClientConnection, now: float) -> bool:
-    """Whether a connection is so new that its first request may be on the way.
+    """Whether the first request of a new connection may be in transit.
 
-    Guards against a request that is lost because its connection was closed while it was being sent.
+    Closing the connection while its client sends a request would lose that request.
     """
     return (
         connection.record.state is ConnectionState.NEW
--- a/rosepick/net/late_refusal.py
+++ b/rosepick/net/late_refusal.py
@@ -1,8 +1,8 @@
-"""Refusal of requests that have waited too long in the accept queue, before anything is set up for them.
+"""Refusal of requests that waited too long in the accept queue, before a connection is set up for them.
 
-A router that is behind gets further behind by each connection that it sets up for a request that it will
-not serve. A plain request that is there as a whole can be answered at a fraction of that cost. Anything else
-takes the usual way.
+For an overloaded router, each connection that it sets up for a request that it will not serve adds to the
+overload. A complete plain request can be refused at a fraction of that cost. All other requests are handled
+as usual.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from ..decisions.permissions import AcceptFacts, Denial, check_accept
 from ..http.response_encoding import encode_head
 
-MIN_LATE_MS = 40.0  # a connection that has waited for less takes the usual way
-MAX_HEAD_BYTES = 4_096  # of a plain request
+MIN_LATE_MS = 40.0  # a connection that waited for less is handled as usual
+MAX_HEAD_BYTES = 4_096  # maximum size of a plain request
 END_OF_HEAD = b"\r\n\r\n"
 BODY_HEADERS = (b"\r\ncontent-length:", b"\r\ntransfer-encoding:")
 _DEADLINE = re.compile(rb"\r\nreq-deadline:[ \t]*([0-9]{1,9}(?:\.[0-9]{0,9})?)[ \t]*\r\n", re.IGNORECASE)
@@ -25,21 +25,21 @@
 
 
 class PlainRequest(NamedTuple):
-    """What matters here of a whole request without a body."""
+    """The class and deadline of a complete request without a body."""
 
     class_index: int
-    deadline_ms: float  # from its last byte
+    deadline_ms: float  # milliseconds from its last byte
 
 
 class Lateness(NamedTuple):
-    """How late a request is read, in milliseconds."""
+    """The delay of a request in the accept queue, in milliseconds."""
 
-    late_ms: float  # how long it may have waited
-    busy_ms: float  # since the router was idle last
+    late_ms: float  # upper bound of the time that it waited
+    busy_ms: float  # time since the router was last idle
 
 
 def parse_plain_request(data: bytes, classes: Mapping[str, int]) -> PlainRequest | None:
-    """Return the request that the data is; None if it is anything but one whole plain read."""
+    """Parse a complete plain GET request without a body; return None for any other data."""
     head = data.lower()
     is_plain = head.startswith(b"get ") and head.endswith(END_OF_HEAD) and head.count(END_OF_HEAD) == 1
     if not is_plain or any(name in head for name in BODY_HEADERS):
@@ -57,16 +57,16 @@
     classes: Mapping[str, int],
     retry_after_ms: Callable[[int], float],
 ) -> PlainRequest | None:
-    """Answer and close an accepted connection if its request has waited for too long.
+    """Refuse the request on an accepted connection and close it, if the request waited too long.
 
     Args:
-        sock: the connection, of which nothing was read.
-        lateness: how late the request is read.
-        classes: the indexes of the request classes by name.
-        retry_after_ms: when a client with a request of a class should come back; 0 for no advice.
+        sock: the accepted connection, from which nothing was read.
+        lateness: the delay of the request.
+        classes: the indexes of the request classes, by name.
+        retry_after_ms: returns the Retry-After of a request class in milliseconds; 0 for none.
 
     Returns:
-        The request that was answered; None if the connection is as it was.
+        The refused request; None if the connection is unchanged.
     """
     sock.setblocking(False)
     try:
@@ -81,7 +81,7 @@
     )
     if denial is None:
         return None
-    with contextlib.suppress(OSError):  # the client has left
+    with contextlib.suppress(OSError):  # the client has disconnected
         sock.recv(len(data))
         sock.send(_encode_answer(denial, retry_after_ms(request.class_index)))
     sock.close()
--- a/rosepick/net/list_slices.py
+++ b/rosepick/net/list_slices.py
@@ -1,7 +1,7 @@
-"""Hands a long change of the endpoint list to the decision module in slices, with requests between them.
+"""Passes a long change of the endpoint list to the decision module in slices, with other events between them.
 
-What leaves comes first. The directory has the whole change from the start, so that nothing is written to an
-endpoint that drains, whatever the module has been told so far.
+Endpoints that drain or leave come first. The endpoint directory has the whole change from the start, so no
+request is written to a draining endpoint, even if the decision module has not yet received its slice.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from ..decisions.api import Endpoint, EndpointUpdate, Status, UpdateScope
 from .event_loop import EventLoop
 
-SLICE_ROWS = 150
-SLICE_PAUSE_MS = 2.0  # between slices
+SLICE_ROWS = 150  # maximum number of endpoints in a slice
+SLICE_PAUSE_MS = 2.0  # pause between slices
 
 
 class EndpointListSlices:
-    """The part of a change that the module has not been told yet.
+    """Queue of the slices that were not yet passed to the decision module.
 
     Args:
         loop: the event loop.
-        apply_slice: gets the module's event of a slice, and the ids of endpoints that it retires.
+        apply_slice: called with the update event of a slice, and the ids of the endpoints that it retires.
     """
 
     def __init__(
@@ -35,13 +35,13 @@
         self._is_scheduled = False
 
     def apply(self, change: DirectoryUpdate) -> None:
-        """Apply a change: its first slice now, the others soon, after what is left of an earlier one."""
+        """Apply the rest of earlier changes and the first slice of this one now, and the others later."""
         self.finish()
         self._waiting.extend(split_update(change))
         self._apply_next()
 
     def finish(self) -> None:
-        """Apply all that waits, now: something is to follow that has to come after it."""
+        """Apply all waiting slices now, before an event that must follow them."""
         while self._waiting:
             self._apply_slice(*self._waiting.popleft())
 
@@ -58,13 +58,13 @@
 
 
 def split_update(change: DirectoryUpdate) -> list[tuple[EndpointUpdate, tuple[int, ...]]]:
-    """Return the slices of a change; a full list is one, as what it lacks is gone."""
+    """Return the slices of a change; a full list is not split, as endpoints missing from it are removed."""
     event = change.event
     if event.scope is not UpdateScope.DELTA or len(event.endpoints) <= SLICE_ROWS:
         return [(event, change.retired_endpoint_ids)]
     retired_ids = set(change.retired_endpoint_ids)
-    latest = {row.endpoint_id: row for row in event.endpoints}  # of an endpoint that is named twice
-    rows = sorted(latest.values(), key=_comes_later)
+    latest = {row.endpoint_id: row for row in event.endpoints}  # the last row of each endpoint
+    rows = sorted(latest.values(), key=_is_ready)
     slices = []
     for begin in range(0, len(rows), SLICE_ROWS):
         part = tuple(rows[begin : begin + SLICE_ROWS])
@@ -73,5 +73,5 @@
     return slices
 
 
-def _comes_later(endpoint: Endpoint) -> bool:
+def _is_ready(endpoint: Endpoint) -> bool:
     return endpoint.status is Status.READY
--- a/rosepick/net/listen_socket.py
+++ b/rosepick/net/listen_socket.py
@@ -1,4 +1,4 @@
-"""Listening sockets: opened here, or inherited from the platform."""
+"""Listening sockets, opened by this process or inherited from the platform."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from .tcp_stream import address_family
 
-ADDRESS_IN_USE_TIMEOUT_S = 5.0
-ADDRESS_IN_USE_RETRY_S = 0.05
+ADDRESS_IN_USE_TIMEOUT_S = 5.0  # how long `bind` retries while the address is in use
+ADDRESS_IN_USE_RETRY_S = 0.05  # pause between these retries
 
 
 def listen(address: tuple[str, int], backlog: int) -> socket.socket:
@@ -24,9 +24,9 @@
 
 
 def bind(address: tuple[str, int]) -> socket.socket:
-    """Open a non-blocking socket at an address, which refuses connections until it listens.
+    """Bind a non-blocking socket to an address; the kernel refuses connections until it listens.
 
-    Retries while the address is in use: guards against a restart that fails because the predecessor still
+    The bind is retried while the address is in use, so that a restart succeeds although the predecessor still
     serves its last requests.
 
     Raises:
@@ -49,9 +49,9 @@
 
 
 def inherit_listen_socket(descriptor: int, backlog: int) -> socket.socket:
-    """Return a listening socket that the platform and other processes hold as well.
+    """Return a listening socket that the process shares with the platform and other processes.
 
-    Only what all processes configure alike is changed.
+    Only properties that all processes set to the same value are changed.
 
     Raises:
         OSError: the descriptor is not a listening socket.
--- a/rosepick/net/listener.py
+++ b/rosepick/net/listener.py
@@ -1,4 +1,4 @@
-"""The listener for clients: accepts connections, and closes some of them to free capacity."""
+"""Listener for clients: accepts connections, and evicts some of them to free capacity."""
 
 from __future__ import annotations
 
@@ -29,12 +29,13 @@
 from .tcp_stream import StreamFactory, TcpStream
 
 logger = logging.getLogger(__name__)
-ACCEPT_RETRY_MS = 50.0  # after an accept that failed for lack of a descriptor
-SWEEP_INTERVAL_MS = 250.0
-# between checks for clients that left while nothing is read; 100 ms are allowed for noticing it
+ACCEPT_RETRY_MS = 50.0  # pause of accepting after a failed accept or while no descriptor is free
+SWEEP_INTERVAL_MS = 250.0  # interval of the timeout checks
+# Interval of the checks whether clients of paused connections have closed; 100 ms are allowed for the
+# detection.
 CLOSED_PEER_CHECK_INTERVAL_MS = 40.0
-# accept(2): these concern the one connection that would have been accepted, not the queue behind it
-ONE_CONNECTION_ERRNOS = frozenset(
+# Errors of accept(2) that concern a single pending connection; later ones can still be accepted.
+PER_CONNECTION_ERRNOS = frozenset(
     {
         errno.EINTR,
         errno.ECONNABORTED,
@@ -51,15 +52,15 @@
         errno.EPERM,
     }
 )
-MAX_ACCEPTS_AT_CLOSE = 4_096  # the longest accept queue that is emptied, should each accept fail
-MAX_ACCEPTED_OVER_LIMIT = 8  # accepted beyond the limit, only to learn their addresses
+MAX_ACCEPTS_AT_CLOSE = 4_096  # upper bound of accepts at the close, in case each of them fails
+MAX_ACCEPTED_OVER_LIMIT = 8  # connections accepted beyond the limit to learn their addresses
 
 ConnectionFactory = Callable[[ConnectionHost, socket.socket, StreamFactory], ClientConnection]
 
 
 @dataclass(slots=True, eq=False)
 class ListenSocket:
-    """A listening socket with the factories of its connections."""
+    """A listening socket with the factories for its connections."""
 
     name: str
     sock: socket.socket
@@ -67,8 +68,8 @@
     make_connection: ConnectionFactory
     queue_age: AcceptQueueAge
 
-    def takes_plain_requests(self) -> bool:
-        """Whether what arrives here is HTTP itself, one request after another."""
+    def accepts_plain_http(self) -> bool:
+        """Whether clients of this socket send ordinary HTTP requests without TLS."""
         return self.make_stream is TcpStream and self.make_connection is DownstreamConnection
 
 
@@ -96,8 +97,10 @@
             self.connection_table, budget, config.limits, max_descriptors, loop.now()
         )
         self.connections: dict[ClientConnection, None] = {}
-        self._paused_connections: dict[ClientConnection, None] = {}  # of them, those that are not read
-        self.own_addresses: set[tuple[str, int]] = set()  # of connections of this router to itself
+        self._paused_connections: dict[ClientConnection, None] = {}  # connections whose reading is paused
+        self.own_addresses: set[tuple[str, int]] = (
+            set()
+        )  # local addresses of connections to this router itself
         self.open_request_ids: set[bytes] = set()
         self.is_shutting_down = False
         self.rejected_count = 0
@@ -120,7 +123,7 @@
 
     @property
     def sock(self) -> socket.socket:
-        """The first listening socket, for HTTP."""
+        """The first listening socket, which serves HTTP."""
         return self.listen_sockets[0].sock
 
     @property
@@ -135,7 +138,7 @@
         make_stream: StreamFactory = TcpStream,
         make_connection: ConnectionFactory = DownstreamConnection,
     ) -> ListenSocket:
-        """Use another address too, from the start on; its connections are treated like all others."""
+        """Add a socket that listens at another address once the listener starts."""
         return self._register_listen_socket(
             ListenSocket(name, bind(address), make_stream, make_connection, AcceptQueueAge(self.loop.now()))
         )
@@ -145,7 +148,7 @@
         return listen_socket
 
     def apply(self, config: ListenerConfig, max_descriptors: int) -> None:
-        """Apply another configuration or limit of descriptors."""
+        """Apply a changed configuration and descriptor limit."""
         if config.backlog != self.config.backlog and self.is_open and self.has_started:
             for listen_socket in self.listen_sockets:
                 listen_socket.sock.listen(config.backlog)
@@ -156,11 +159,11 @@
     def start(self) -> None:
         """Start or resume accepting.
 
-        Sockets listen from the first start on. Before it, connections are refused: the system would take them
-        into the accept queue, and their requests with them, for a router that may not serve yet.
+        The first call makes the sockets listen. Before it, connections are refused: otherwise the kernel
+        would queue connections and their requests for a router that may not serve yet.
 
         Raises:
-            OSError: another process listens at an address.
+            OSError: another process listens at one of the addresses.
         """
         if self.is_open and not self.is_accepting:
             if not self.has_started:
@@ -176,14 +179,14 @@
         return self.has_started and not self.is_shutting_down
 
     def pause(self) -> None:
-        """Stop accepting: new connections wait in the accept queue."""
+        """Stop accepting; new connections wait in the accept queue."""
         if self.is_accepting:
             self.is_accepting = False
             for listen_socket in self.listen_sockets:
                 self.loop.unregister(listen_socket.sock)
 
     def resume_after_free(self) -> None:
-        """Resume accepting, if possible, after a descriptor was freed."""
+        """Resume accepting after a descriptor was freed, if the limits permit it."""
         if (
             self.has_started
             and not self.is_accepting
@@ -195,21 +198,21 @@
     # ---------------------------------------------------------------------------------------- accepting
 
     def _is_at_limit(self) -> bool:
-        """Whether clients hold their share of the descriptors."""
+        """Whether client connections use their whole share of the descriptors."""
         return len(self.connections) >= self.budget.downstream_limit()
 
     def _can_accept(self) -> bool:
-        """Whether one more connection may be accepted; one may be evicted for it.
+        """Return whether one more connection may be accepted; evict another one if necessary.
 
-        Guards against connection pressure that takes the descriptors of upstream connections, so that each
-        attempt needs a new one.
+        The downstream limit keeps descriptors for upstream connections. Without it, connection pressure would
+        close idle upstream connections, and each attempt would need a new one.
         """
         if self._is_at_limit() and (self.policy.has_address_over_quota() or not self.evict_one()):
-            return False  # whether the new one is evicted depends on its address
+            return False  # the decision depends on the address of the new connection
         return self.budget.ensure_available(DescriptorUse.DOWNSTREAM)
 
     def _may_accept_over_limit(self) -> bool:
-        """Whether a connection may be accepted beyond the limit, to learn its address."""
+        """Whether a connection may be accepted beyond the limit to learn its address."""
         excess = len(self.connections) - self.budget.downstream_limit()
         return 0 <= excess < MAX_ACCEPTED_OVER_LIMIT and self.budget.used < self.budget.limit
 
@@ -222,12 +225,12 @@
             pass
 
     def _accept_one(self, listen_socket: ListenSocket) -> bool:
-        """Accept one connection; return whether one was accepted, so that there may be more."""
+        """Accept one connection; return False if the queue is empty or accepting has paused."""
         if self._is_at_limit():
             queue = queue_length(listen_socket.sock)
             if queue is not None and queue.queued == 0:
                 listen_socket.queue_age.record_empty()
-                return False  # guards against evicting a connection for nobody
+                return False  # do not evict a connection if no other one waits
         if not (self._can_accept() or self._may_accept_over_limit()):
             log_event(logger, logging.WARNING, "accept_paused", open_descriptors=self.budget.used)
             self._pause_accepting()
@@ -238,9 +241,10 @@
             listen_socket.queue_age.record_empty()
             return False
         except OSError as error:
-            if error.errno in ONE_CONNECTION_ERRNOS:
+            if error.errno in PER_CONNECTION_ERRNOS:
                 return True
-            # out of descriptors or memory: the loop would be woken again at once
+            # Out of descriptors or memory: pause, because the socket stays ready and would wake the loop at
+            # once.
             log_event(logger, logging.WARNING, "accept_failed", text=error, open_descriptors=self.budget.used)
             self.budget.reclaim_one()
             self._pause_accepting()
@@ -254,9 +258,9 @@
     def _refuse_if_late(
         self, listen_socket: ListenSocket, sock: socket.socket, accepted_since: float
     ) -> bool:
-        """Answer and close a connection whose request has waited for too long; return whether it was."""
+        """Refuse a request that waited too long in the accept queue; return whether it was refused."""
         late_ms = self.loop.now() - accepted_since
-        if late_ms < MIN_LATE_MS or not listen_socket.takes_plain_requests():
+        if late_ms < MIN_LATE_MS or not listen_socket.accepts_plain_http():
             return False
         lateness = Lateness(late_ms, self.loop.now() - self.loop.idle_at)
         request = refuse_if_late(sock, lateness, self.names.classes, self.engine.retry_after_ms)
@@ -268,7 +272,8 @@
 
     def _pause_accepting(self) -> None:
         self.pause()
-        # guards against a burst that fills all slots at once: connections are evicted only after a while
+        # A timer resumes accepting even if no descriptor is released. After a burst that fills all slots at
+        # once, connections can be evicted only once they have reached a minimum age.
         self.loop.call_after(ACCEPT_RETRY_MS, self.start)
 
     def _admit(
@@ -296,8 +301,8 @@
         self.connection_table.begin_request(connection.record, now)
         self.policy.record_request(connection.record, now)
 
-    def forget(self, connection: ClientConnection, reason: CloseReason) -> None:
-        """Remove a connection that closes, for the given reason."""
+    def remove_connection(self, connection: ClientConnection, reason: CloseReason) -> None:
+        """Remove a connection that is being closed for `reason`."""
         self._paused_connections.pop(connection, None)
         if connection in self.connections:
             del self.connections[connection]
@@ -305,10 +310,10 @@
             self.policy.record_close(connection.record)
 
     def set_reading(self, connection: ClientConnection, enabled: bool) -> None:
-        """Set whether a connection is read.
+        """Set whether the loop waits for data on a connection.
 
-        While it is not, no selector reports that its client has left, and its requests would be forwarded for
-        nobody: such connections are checked from time to time.
+        While reading is paused, the selector does not report that the client has closed, and pipelined
+        requests would be forwarded without a client. Therefore a timer checks paused connections.
         """
         if enabled:
             self._paused_connections.pop(connection, None)
@@ -331,30 +336,31 @@
             connection.check_timeouts(now)
 
     def _evict_connections(self) -> None:
-        """Close connections that were idle for too long, or whose slots are needed.
+        """Close connections that are idle for too long or whose slots are needed.
 
-        Runs on a timer: when all connections that clients may hold are idle, no event would trigger it.
+        This runs on a timer, because no event triggers it while all connections that clients may hold are
+        idle.
         """
         self.loop.call_after(REVIEW_INTERVAL_MS, self._evict_connections)
         for record, reason in self.policy.review(self.loop.now()):
             self._close_idle(record, reason)
-        for count, free_one in (
+        for count, close_one in (
             (self.policy.excess_connections(), self.evict_one),
             (self.policy.excess_descriptors(), self.budget.reclaim_one),
         ):
             for _ in range(count):
-                if not free_one():
+                if not close_one():
                     break
         self._report.log_pressure(self.loop.now())
 
     def evict_one(self, under_pressure: bool = True) -> bool:
-        """Close the least useful connection without an open request; return False if there is none."""
+        """Close the least valuable connection without a request; return False if there is none."""
         candidates = self.policy.select_for_eviction(self.loop.now(), under_pressure)
         return any(self._close_idle(record, reason) for record, reason in candidates)
 
     @staticmethod
     def _close_idle(record: ConnectionRecord, reason: CloseReason) -> bool:
-        """Close a connection, unless unread data shows that a request begins; return whether it closed."""
+        """Close a connection unless unread data indicates a new request; return whether it was closed."""
         if record.state is ConnectionState.CLOSED:
             return False
         connection = record.owner
@@ -368,8 +374,9 @@
     def close(self) -> None:
         """Stop listening.
 
-        Connections that wait in the accept queue are accepted first: guards against their reset. The queue of
-        an inherited socket belongs to the other processes as well; only this process's copy is closed.
+        Connections in the accept queue are accepted first, because the close would reset them. An inherited
+        socket is shared with other processes, which accept its queue; only this process's descriptor is
+        closed.
         """
         for listen_socket in self._own_sockets() if self.has_started else ():
             for _ in range(MAX_ACCEPTS_AT_CLOSE):
@@ -382,9 +389,10 @@
                 listen_socket.sock.close()
 
     def has_waiting_connections(self) -> bool:
-        """Return whether connections wait in the accept queue of a socket that is this process's alone.
+        """Return whether connections wait in the accept queue of a socket that only this process has.
 
-        Closing the socket resets them, and with them requests that their clients have sent.
+        Closing the socket would reset these connections and lose requests that their clients have already
+        sent.
         """
         queues = [queue_length(entry.sock) for entry in self._own_sockets()]
         return (
@@ -395,7 +403,7 @@
         return self.listen_sockets[int(self.shares_inherited_socket) :]
 
     def log_summary(self) -> None:
-        """Log the counts of connections, and overflows of the accept queues."""
+        """Log the connection counts and the overflows of the accept queues."""
         self._report.log_summary()
         sockets = self.listen_sockets if self.is_open else ()
         self._report.log_queue_overflows([(entry.name, entry.sock) for entry in sockets])
--- a/rosepick/net/listener_config.py
+++ b/rosepick/net/listener_config.py
@@ -1,4 +1,4 @@
-"""Configuration of the listeners, from the operator file, in the units that the program uses."""
+"""Configuration of the listeners from the operator file, converted to internal units."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenerConfig:
-    """What operators configure for all listeners."""
+    """Settings of the operator file that apply to all listeners."""
 
     limits: ConnectionLimits
-    request_timeout_ms: float = 2_500.0  # for a request head; counts from its begin or the connection's
+    request_timeout_ms: float = 2_500.0  # time to receive a request head; see `ClientConnection`
     backlog: int = 1024  # length of the accept queue of each listening socket, in connections
 
 
--- a/rosepick/net/loop_load.py
+++ b/rosepick/net/loop_load.py
@@ -1,4 +1,4 @@
-"""How long the turns of an event loop take, and which callback took longest in them.
+"""Measurement of the turns of an event loop and of the longest callback in each.
 
 Times are milliseconds.
 """
@@ -12,14 +12,12 @@
 from ..logs import log_event
 
 logger = logging.getLogger(__name__)
-LONG_TURN_MS = 50.0  # a turn that takes longer is logged
-MAX_CALL_MS = (
-    10.0  # one callback should take no longer, whatever it is for: a longer one is counted and logged
-)
+LONG_TURN_MS = 50.0  # longer turns are logged
+MAX_CALL_MS = 10.0  # bound for the duration of any callback; longer ones are counted and logged
 
 
 def describe_callback(callback: Callable[..., object]) -> str:
-    """Return the name of a callback, for the log."""
+    """Return the qualified name of a callback, for the log."""
     while isinstance(callback, partial):
         callback = callback.func
     return getattr(callback, "__qualname__", type(callback).__name__)
@@ -29,7 +27,7 @@
     """Measures the turns of one event loop.
 
     Args:
-        now: the present time.
+        now: the current time.
     """
 
     __slots__ = (
@@ -55,7 +53,7 @@
         self._longest_ms = 0.0
 
     def record_call(self, callback: Callable[..., object], elapsed_ms: float) -> None:
-        """Record that a callback has run."""
+        """Record that a callback ran for `elapsed_ms` milliseconds."""
         self._calls += 1
         if elapsed_ms > self._longest_ms:
             self._longest = callback
@@ -70,8 +68,8 @@
         """Record the end of a turn.
 
         Args:
-            now: the time of its end, before the loop waits.
-            next_began_at: when the next turn begins, after the wait.
+            now: the end of the turn, before the loop waits.
+            next_began_at: the start of the next turn, after the wait.
         """
         turn_ms = now - self._turn_began_at
         self.longest_turn_ms = max(self.longest_turn_ms, turn_ms)
@@ -89,6 +87,6 @@
         self._begin(next_began_at)
 
     def reset(self) -> None:
-        """Forget the longest turn and call, after they were reported."""
+        """Reset the longest turn and call after they were reported."""
         self.longest_turn_ms = 0.0
         self.longest_call_ms = 0.0
--- a/rosepick/net/optional_parts.py
+++ b/rosepick/net/optional_parts.py
@@ -1,4 +1,4 @@
-"""Parts of a router that are imported only where they are configured."""
+"""Optional components of a router, which are imported only if they are configured."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from .process_handover import ProcessHandover
     from .tls import TlsServer
 
-# its lines belong to the server, also where log lines are rate limited
+# Log lines and their rate limits count as those of the server.
 logger = logging.getLogger(f"{__package__}.server")
 
 
@@ -99,7 +99,7 @@
 
 
 def reserved_descriptors(config: Config) -> int:
-    """Return how many descriptors are set aside for the admin listener."""
+    """Return how many descriptors are reserved for the admin listener."""
     if config.ops is None:
         return 0
     from .admin_listener import RESERVED_DESCRIPTORS
--- a/rosepick/net/peer_certificate.py
+++ b/rosepick/net/peer_certificate.py
@@ -1,10 +1,10 @@
-"""The subject of a peer's certificate as a string (RFC 4514): last part first, special characters escaped."""
+"""String form of the subject of a peer's certificate (RFC 4514): last part first, escaped."""
 
 from __future__ import annotations
 
 import re
 
-# as the ssl module returns it: relative distinguished names, each of one or more attribute-value pairs
+# Form used by the ssl module: relative distinguished names, each with one or more attribute-value pairs.
 DistinguishedName = tuple[tuple[tuple[str, str], ...], ...]
 
 _ATTRIBUTE_SHORT_NAMES = {
@@ -19,7 +19,7 @@
     "userId": "UID",
 }
 _NEEDS_ESCAPE = re.compile(r'[\\",;<>+]|^[ #]| $|[\x00-\x1f\x7f]')
-_UTF8_STRING = 0x0C  # ASN.1 tag of the type
+_UTF8_STRING = 0x0C  # ASN.1 tag
 
 
 def format_rfc4514(name: DistinguishedName) -> str:
@@ -30,7 +30,7 @@
 
 
 def _format_attribute(attribute_type: str, value: str) -> str:
-    if attribute_type[:1].isdigit():  # a type without a short name: its value in BER, hexadecimal
+    if attribute_type[:1].isdigit():  # an OID has no short name: write the value as hexadecimal BER
         return f"{attribute_type}=#{_encode_der(value.encode()).hex()}"
     return f"{_ATTRIBUTE_SHORT_NAMES.get(attribute_type, attribute_type)}={_NEEDS_ESCAPE.sub(_escape, value)}"
 
--- a/rosepick/net/process_handover.py
+++ b/rosepick/net/process_handover.py
@@ -1,6 +1,7 @@
-"""Handover between processes of one router, as at an upgrade.
+"""Handover between processes of one router, for example during an upgrade.
 
-A process follows the others that hold the same listening socket, and imports the state of its predecessor.
+A process observes the other processes that share its listening socket, and imports the state of its
+predecessor.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 
 logger = logging.getLogger(__name__)
 STATE_WAIT_MS = 1_000.0  # how long a new process waits for the state of its predecessor
-POLL_INTERVAL_MS = 50.0
+POLL_INTERVAL_MS = 50.0  # interval of the reads of the process registry
 
 
 class ProcessHandover:
-    """Drives a `ProcessShare`: reads and writes the registry of processes."""
+    """Updates a `ProcessShare` from the process registry, and transfers state through it."""
 
     def __init__(self, loop: EventLoop, listen: tuple[str, int]) -> None:
         self.loop = loop
@@ -41,13 +42,14 @@
         is_serving: Callable[[], bool],
         on_change: Callable[[], None],
     ) -> None:
-        """Poll the other processes from now on.
+        """Read the process registry now, and then every `POLL_INTERVAL_MS`.
 
         Args:
-            module: whose state is exported and imported.
-            descriptor_count: returns how many descriptors this process uses; published to the others.
-            is_serving: whether this process accepts clients.
-            on_change: called when the other processes, or this one's share because of them, have changed.
+            module: the decision module whose state is exported and imported.
+            descriptor_count: returns the number of descriptors of this process, which is published to the
+            others.
+            is_serving: returns whether this process accepts clients.
+            on_change: called after the other processes or the share of this process changed.
         """
         if self.registry is None:
             return
@@ -70,8 +72,8 @@
     def _import_state(self, module: DecisionModule) -> bool:
         """Import the predecessor's state; return whether the state transfer is settled.
 
-        A predecessor that exports nothing is waited for `STATE_WAIT_MS`. State that was exported before this
-        process started was meant for another one, and is not used.
+        The process waits for the state of its predecessor for up to `STATE_WAIT_MS`. State that was exported
+        before this process started was intended for another process and is ignored.
         """
         assert self.registry is not None
         now = self.loop.now()
@@ -91,6 +93,6 @@
         return True
 
     def close(self) -> None:
-        """Release this process's entry in the registry."""
+        """Release the registry entry of this process."""
         if self.registry is not None:
             self.registry.close()
--- a/rosepick/net/process_registry.py
+++ b/rosepick/net/process_registry.py
@@ -1,7 +1,7 @@
-"""Registry of the processes of one router: a locked file for each, in a folder that they share.
+"""Registry of the processes of one router: a locked file for each process in a shared folder.
 
-The kernel releases a lock when its holder dies, so a file that was left behind counts as free. A file holds
-the number of descriptors that its process uses.
+The kernel releases a lock when its holder exits, so a file without a lock is free. A file holds the number of
+descriptors that its process uses.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from ..logs import log_event
 
 logger = logging.getLogger(__name__)
-MAX_PROCESSES = 4  # of one router at a time: more than an upgrade and an abandoned one ever need
-MAX_STATE_BYTES = 2 * 1024 * 1024  # of exported state that is read
+MAX_PROCESSES = 4  # processes of one router at a time; more than an upgrade and an abandoned upgrade need
+MAX_STATE_BYTES = 2 * 1024 * 1024  # larger exported state is not read
 _DESCRIPTOR_COUNT = struct.Struct("<I")
 
 
 class ProcessRegistry:
-    """This process's entry in the registry, and reading those of the others."""
+    """Holds the registry entry of this process, and reads those of the others."""
 
     def __init__(self, folder: Path, listen: tuple[str, int]) -> None:
         host = "".join(c if c.isalnum() else "-" for c in listen[0])
@@ -52,15 +52,15 @@
         return True
 
     def publish_descriptor_count(self, descriptor_count: int) -> None:
-        """Publish how many descriptors this process uses."""
+        """Publish the number of descriptors that this process uses."""
         if self._lock_fd >= 0:
             try:
                 os.pwrite(self._lock_fd, _DESCRIPTOR_COUNT.pack(descriptor_count), 0)
-            except OSError:  # disk full: the lock alone shows that this process exists
+            except OSError:  # disk full: the lock alone still indicates this process
                 log_event(logger, logging.WARNING, "process_entry_write_failed", path=self._own_path)
 
     def other_descriptor_counts(self) -> tuple[int, ...]:
-        """Return the number of descriptors that each other live process uses."""
+        """Return the number of descriptors of each other live process."""
         counts = (self._read_descriptor_count(path) for path in self._paths if path != self._own_path)
         return tuple(count for count in counts if count is not None)
 
@@ -72,7 +72,7 @@
         except OSError:
             return None
         try:
-            # shared: two readers at one time do not take each other for the holder
+            # Use a shared lock, so that simultaneous readers do not mistake each other for the holder.
             fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except OSError:
             data = os.pread(file, _DESCRIPTOR_COUNT.size, 0)
@@ -86,14 +86,14 @@
         temporary = self._state_path.with_suffix(f".{os.getpid()}")
         try:
             temporary.write_bytes(document)
-            temporary.replace(self._state_path)  # atomic: guards against reading a partial document
+            temporary.replace(self._state_path)  # atomic, so that no partial document is read
         except OSError as error:
             log_event(logger, logging.WARNING, "state_export_failed", text=error)
             with contextlib.suppress(OSError):
                 temporary.unlink()
 
     def read_state(self) -> bytes | None:
-        """Return the state that another process has written, if any."""
+        """Return the state written by another process, if any."""
         try:
             if self._state_path.stat().st_size > MAX_STATE_BYTES:
                 return None
@@ -102,18 +102,18 @@
             return None
 
     def delete_state(self) -> None:
-        """Delete the state, which counts as memory, once it was read."""
+        """Delete the state file after it was read, as it counts towards the memory limit."""
         with contextlib.suppress(OSError):
             self._state_path.unlink()
 
     def close(self) -> None:
-        """Release this process's entry."""
+        """Release the entry of this process."""
         if self._lock_fd >= 0:
             os.close(self._lock_fd)
             self._lock_fd = -1
 
 
 def open_registry(environment: Mapping[str, str], listen: tuple[str, int]) -> ProcessRegistry | None:
-    """Open the registry in $TMPDIR, if there is such a folder."""
+    """Open the registry in $TMPDIR, if that folder exists."""
     folder = environment.get("TMPDIR")
     return ProcessRegistry(Path(folder), listen) if folder and os.path.isdir(folder) else None
--- a/rosepick/net/releasing.py
+++ b/rosepick/net/releasing.py
@@ -1,6 +1,6 @@
-"""The former place of the artifact fetch, for agents whose program was replaced while they ran.
+"""Former module of the artifact fetch, for agents whose program is replaced while they run.
 
-Such an agent still starts its fetches by this module's name. New code uses `coordination.artifact_fetch`.
+Such an agent still starts its fetches under this module name. New code uses `coordination.artifact_fetch`.
 """
 
 from __future__ import annotations
--- a/rosepick/net/resource_budget.py
+++ b/rosepick/net/resource_budget.py
@@ -5,14 +5,15 @@
 from ..connections.descriptor_budget import DescriptorBudget
 from ..core.body_stream import BufferBudget
 
-# Fractions of the router's memory:
-STREAMED_BODIES_FRACTION = 1 / 16  # buffers of streamed bodies; as much again is being written
-RESPONSES_FRACTION = 0.25  # responses that are being read or not yet written
+# Fraction of the memory for buffers of streamed bodies. Data that is being written needs the same amount
+# again.
+STREAMED_BODIES_FRACTION = 1 / 16
+RESPONSES_FRACTION = 0.25  # fraction of the memory for responses that are being read or written
 BYTES_PER_MB = 1024 * 1024
 
 
 class ResourceBudget(DescriptorBudget):
-    """Counts descriptors by purpose, and the bytes of buffered responses."""
+    """Counts descriptors by use, and the bytes of buffered responses and bodies."""
 
     def __init__(self, limit: int, memory_mb: float = 192.0, downstream_fraction: float = 0.5) -> None:
         super().__init__(limit, downstream_fraction)
--- a/rosepick/net/server.py
+++ b/rosepick/net/server.py
@@ -1,4 +1,4 @@
-"""One router process: its parts, their configuration and its shutdown."""
+"""One router process: its components, their configuration and its shutdown."""
 
 from __future__ import annotations
 
@@ -44,19 +44,19 @@
 from .upstream_pool import UpstreamPool
 
 logger = logging.getLogger(__name__)
-START_POLL_INTERVAL_MS = 25.0  # between two looks whether clients may be accepted
+START_POLL_INTERVAL_MS = 25.0  # interval of the checks whether clients may be accepted
 SUMMARY_INTERVAL_MS = 5_000.0
-MAX_LOGGED_UIDS = 8  # of each kind in a log line; the rest are counted
-GC_THRESHOLDS = (20_000, 20, 50)  # the collector runs seldom, as little of what is allocated forms cycles
+MAX_LOGGED_UIDS = 8  # maximum number of uids per log field; the others are counted
+GC_THRESHOLDS = (20_000, 20, 50)  # collections are rare, because few allocated objects form reference cycles
 
 
 class RouterServer:
-    """All parts of one router; creating it opens the listening sockets, but accepts nothing yet.
+    """All components of one router; the constructor opens the listening sockets but accepts no connection.
 
     Args:
         config: the configuration.
-        loop: the event loop, else a new one.
-        reload_config: reads the configuration again; without it, it stays the same.
+        loop: the event loop; None creates one.
+        reload_config: rereads the configuration; without it, the configuration never changes.
         operator_settings: the operator file and its options.
 
     Raises:
@@ -79,9 +79,9 @@
         self.reloads_succeeded = 0
         self.reloads_failed = 0
         self._started_at = loop.now()
-        self._list_received = False  # from discovery, since the start
-        self._listed_at = self._started_at  # when discovery's latest list or changes came
-        self._awaits_list = False  # before it accepts clients
+        self._list_received = False  # a list from discovery, since the start
+        self._listed_at = self._started_at  # when the latest list or change arrived from discovery
+        self._awaits_list = False  # whether clients are accepted only after a list or a timeout
         self.handover = make_handover(loop, config)
         self.endpoint_directory = EndpointDirectory(config.names, time.time() * 1000.0 - loop.now())
         known_endpoints = self.endpoint_directory.apply_update(config.known, is_cached=True)
@@ -135,8 +135,9 @@
         )
 
     def _share_descriptors(self) -> None:
-        """Set which descriptors are reclaimed when none is left, and who uses one that is released."""
-        # Connections to upstreams are expensive to open again, so clients' that are hardly missed go first.
+        """Set the order in which descriptors are reclaimed, and resume accepting after a release."""
+        # Connections to upstreams are expensive to reopen, so client connections of low value are closed
+        # first.
         self.budget.reclaimers = [
             partial(self.listener.evict_one, False),
             self.pool.close_oldest_idle,
@@ -173,21 +174,21 @@
         )
 
     def _class_names(self) -> dict[int, str]:
-        """Return the names of all request classes that exist or existed, by index."""
+        """Return the names of all current and former request classes, by index."""
         return {index: name for name, index in self.config.names.all_classes().items()}
 
     # ------------------------------------------------------------------------------- shares and limits
 
     def _descriptor_limit(self) -> int:
-        """Return how many descriptors this process may use.
+        """Return how many descriptors this process may use for clients and upstreams.
 
-        Those of the admin listener are set aside; other processes of this router have their share.
+        Descriptors are reserved for the admin listener, and other processes of this router use their shares.
         """
         limit = _max_descriptors(self.config) - reserved_descriptors(self.config)
         return limit if self.handover is None else self.handover.process_share.descriptor_share(limit)
 
     def _memory_mb(self) -> float:
-        """Return how much memory this process may use, in MB."""
+        """Return the memory share of this process, in MB."""
         memory_mb = self.config.memory_mb
         return memory_mb if self.handover is None else self.handover.process_share.memory_share(memory_mb)
 
@@ -199,14 +200,14 @@
         return max(entry.deadline_ms for entry in self.config.settings.classes)
 
     def _on_processes_changed(self) -> None:
-        """Apply this process's share after other processes of this router have changed."""
+        """Apply this process's share after the set of processes of this router has changed."""
         self._apply_limits()
         self._start_if_due()
 
     # -------------------------------------------------------------------------------------- serving
 
     def _start_if_due(self) -> None:
-        """Begin to accept clients, unless another process has to be waited for."""
+        """Start to accept clients, if all start conditions are met."""
         if self.listener.has_started or self.listener.is_shutting_down:
             return
         if self._start_denial() is None and self._try_listen():
@@ -223,16 +224,16 @@
             self._log_rules()
 
     def _try_listen(self) -> bool:
-        """Begin to listen and accept; return whether that succeeded, else it is tried again."""
+        """Start to listen and accept; return False if listening failed, so that the caller retries."""
         try:
             self.listener.start()
-        except OSError as error:  # another process was bound to the address as well, and listens already
+        except OSError as error:  # another process bound the same address and listens already
             log_event(logger, logging.WARNING, "listen_failed", text=error)
             return False
         return True
 
     def _start_denial(self) -> Denial | None:
-        """Return why no client may be accepted yet."""
+        """Return why clients may not be accepted yet; None if they may."""
         share = None if self.handover is None else self.handover.process_share
         return check_start(
             StartFacts(
@@ -246,13 +247,13 @@
         )
 
     def _poll_start(self) -> None:
-        """Look again whether clients may be accepted, until they are."""
+        """Check periodically whether clients may be accepted, until they are."""
         self._start_if_due()
         if not (self.listener.has_started or self.listener.is_shutting_down):
             self.loop.call_after(START_POLL_INTERVAL_MS, self._poll_start)
 
     def _log_rules(self) -> None:
-        """Log the rules and limits in force: what a log is to be read against."""
+        """Log the rules and limits in force, for the analysis of the log."""
         settings = self.config.settings
         log_event(
             logger,
@@ -265,7 +266,7 @@
         )
 
     def run(self) -> None:
-        """Serve until a signal ends the router and no request is pending."""
+        """Serve until a signal starts the shutdown and no request is pending."""
         handlers: dict[int, Callable[[], None]] = {
             signal.SIGTERM: self.end,
             signal.SIGINT: self.end,
@@ -275,7 +276,8 @@
             handlers[signal.SIGUSR2] = self.capture.dump
         self.loop.add_signal_handlers(handlers)
         self.loop.call_after(SUMMARY_INTERVAL_MS, self._log_summary)
-        # what exists now lives until the end: only newer objects are collected, and seldom
+        # Current objects live until the end, so exclude them from collection; newer ones are collected
+        # rarely.
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
@@ -288,7 +290,7 @@
         log_event(logger, logging.INFO, "shutdown_completed", name=self.config.name)
 
     def start_serving(self) -> None:
-        """Accept clients from now on, or once other processes allow it."""
+        """Start to accept clients, or wait until other processes permit it."""
         if self.handover is not None:
             self.handover.follow(
                 self.engine.router,
@@ -345,14 +347,14 @@
     # ----------------------------------------------------------------------- reload of the configuration
 
     def reload(self) -> None:
-        """Reread both configuration files (SIGHUP); an error in one does not affect the other."""
+        """Reread both configuration files (SIGHUP); an error in one file does not affect the other."""
         self._reload_config()
         if self.operator_settings.reload is not None:
             self._reload_operators(self.operator_settings.reload)
         self._apply_limits()
 
     def _reload_operators(self, read_file: Callable[[], OperatorFile]) -> None:
-        """Apply those settings of the operator file that do not need a restart."""
+        """Reread the operator file, and apply the settings that need no restart."""
         try:
             file = read_file()
         except OperatorFileError as error:
@@ -372,9 +374,9 @@
             self.tls.reload(file)
 
     def _reload_config(self) -> None:
-        """Apply those settings of the configuration that do not need a restart.
+        """Reread the configuration, and apply the settings that need no restart.
 
-        All of it is validated first: guards against a half-written file that takes a serving router down.
+        The whole file is validated first, so that a partially written file does not stop a serving router.
         """
         try:
             new_config = self._read_config()
@@ -408,7 +410,7 @@
             self.endpoint_watch.switch_discovery(new_config.discovery)
 
     def _apply_limits(self) -> None:
-        """Apply the limits of descriptors and memory, and the operators' settings of connections."""
+        """Apply the limits of descriptors and memory, and the connection settings of the operator file."""
         self.budget.downstream_fraction = self._downstream_fraction()
         self.budget.resize(self._descriptor_limit())
         self.budget.set_memory(self._memory_mb())
@@ -417,7 +419,7 @@
     # ------------------------------------------------------------------------------ shutdown and summary
 
     def end(self) -> None:
-        """Begin a graceful shutdown (SIGTERM, SIGINT)."""
+        """Start a graceful shutdown (SIGTERM, SIGINT)."""
         if self.listener.is_shutting_down:
             return
         log_event(
@@ -430,7 +432,7 @@
         self._shutdown.begin()
 
     def _log_summary(self) -> None:
-        """Log the counters, and the outcomes of each request class."""
+        """Log the counters and the outcomes of each request class."""
         self.loop.call_after(SUMMARY_INTERVAL_MS, self._log_summary)
         counts = dict(sorted(self.engine.totals().items()))
         log_event(
@@ -457,12 +459,12 @@
 
 
 def _max_descriptors(config: Config) -> int:
-    """Return the limit of descriptors: the configured one or that of the process, whichever is lower."""
+    """Return the descriptor limit: the lower of the configured limit and the process's RLIMIT_NOFILE."""
     return min(config.max_descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
 def _changed_uids(change: DirectoryUpdate, directory: EndpointDirectory) -> dict[str, str]:
-    """Return the uids of endpoints that an update drains or retires, for the log; none if there are none."""
+    """Return log fields with the uids of endpoints that an update drains or retires, without empty fields."""
     draining = [
         directory.uid_of(entry.endpoint_id) or ""
         for entry in change.event.endpoints
@@ -473,6 +475,6 @@
 
 
 def _shorten(uids: list[str]) -> str:
-    """Return the first uids as one text, and the number of the others."""
+    """Return the first `MAX_LOGGED_UIDS` uids as one text, and the number of the others."""
     hidden_count = len(uids) - MAX_LOGGED_UIDS
     return ",".join([*uids[:MAX_LOGGED_UIDS], *([f"+{hidden_count}"] if hidden_count > 0 else [])])
--- a/rosepick/net/tcp_stream.py
+++ b/rosepick/net/tcp_stream.py
@@ -1,4 +1,4 @@
-"""A non-blocking TCP connection on the event loop, with a buffer for unwritten data."""
+"""Non-blocking TCP connection on the event loop, with a buffer for unwritten data."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 READ_CHUNK_BYTES = 128 * 1024
 OUT_OF_DESCRIPTORS_ERRNOS = (errno.EMFILE, errno.ENFILE)
-# of socket or connect: a want of this machine, for a moment, which says nothing of the peer
+# Errors of socket() or connect() with a temporary cause on this machine; they say nothing about the peer.
 LOCAL_FAILURE_ERRNOS = frozenset(
     {
         *OUT_OF_DESCRIPTORS_ERRNOS,
@@ -31,15 +31,13 @@
     }
 )
 _CLOSED_TCP_STATES = (7, 8)  # TCP_CLOSE and TCP_CLOSE_WAIT in the kernel
-KERNEL_BUFFER_BYTES = 128 * 1024
-NO_PROGRESS_TIMEOUT_MS = (
-    10_000.0  # a peer has stopped that sends or reads no byte of a streamed body for so long
-)
-LONG_BODY_BYTES = 1024 * 1024  # for a longer body the kernel's buffers are limited
+KERNEL_BUFFER_BYTES = 128 * 1024  # size of a limited kernel buffer
+NO_PROGRESS_TIMEOUT_MS = 10_000.0  # maximum time in which a peer sends or reads no byte of a streamed body
+LONG_BODY_BYTES = 1024 * 1024  # the kernel's buffers are limited for longer bodies
 
 
 def _ignore_ready(_events: int) -> None:
-    """Ready callback of a closed stream."""
+    """Ignore socket events of a closed stream."""
 
 
 class TcpStream:
@@ -80,12 +78,12 @@
         self._pending: deque[memoryview] = deque()
         budget.acquire(use)
         sock.setblocking(False)
-        with contextlib.suppress(OSError):  # the peer may have closed already
+        with contextlib.suppress(OSError):  # the peer may already have closed
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         loop.register(sock, events, on_ready, urgent)
 
     def finish_connect(self) -> None:
-        """Check the result of a connect.
+        """Check the result of a non-blocking connect.
 
         Raises:
             OSError: the connect failed.
@@ -95,7 +93,7 @@
             raise OSError(error_number, os.strerror(error_number))
 
     def is_connected(self) -> bool:
-        """Whether a connect has succeeded, even if the loop has not reported it yet."""
+        """Whether the connect has succeeded, even before the loop reports it."""
         try:
             self.sock.getpeername()
         except OSError:
@@ -115,7 +113,7 @@
         self._events = events
 
     def read(self, max_bytes: int = READ_CHUNK_BYTES) -> bytes | None:
-        """Return received data; empty at the end of input, None if there is none.
+        """Return received data; empty at the end of input, None if no data is available.
 
         Raises:
             OSError: the connection broke.
@@ -126,7 +124,7 @@
             return None
 
     def has_nothing_to_read(self) -> bool:
-        """Whether there is neither unread data nor an end of input."""
+        """Whether there is neither unread data nor an end of input or error."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -136,7 +134,7 @@
         return False
 
     def is_at_end(self) -> bool:
-        """Whether the peer has closed or reset the connection, and all its data was read."""
+        """Whether the peer has closed or reset the connection and all its data was read."""
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -145,7 +143,7 @@
             return True
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer has closed or reset the connection, even if its data is unread."""
+        """Whether the peer has closed or reset the connection, even with unread data."""
         option = getattr(socket, "TCP_INFO", None)
         if option is None:
             return False
@@ -162,7 +160,7 @@
         return True
 
     def write(self, data: bytes | memoryview) -> int:
-        """Write without buffering; return the number of bytes that were written.
+        """Write without buffering; return the number of written bytes.
 
         Raises:
             OSError: the connection broke.
@@ -173,14 +171,14 @@
             return 0
 
     def send(self, *parts: bytes) -> None:
-        """Write what can be written now, and buffer the rest without copying it."""
+        """Write as much as possible now, and buffer the rest without copying it."""
         for part in filter(None, parts):
             self._pending.append(memoryview(part))
             self._budget.buffered_bytes += len(part)
         self.flush()
 
     def flush(self) -> None:
-        """Continue writing buffered data."""
+        """Write buffered data."""
         if not self._pending:
             return
         try:
@@ -201,23 +199,24 @@
     def limit_kernel_buffer(self, buffer_option: int) -> None:
         """Limit the kernel's buffer in one direction (SO_SNDBUF or SO_RCVBUF).
 
-        Data there is seen neither in the memory budget nor as progress of a slow peer.
+        Data in the kernel's buffers is not part of the memory budget and hides how slowly a peer reads or
+        sends.
         """
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, buffer_option, KERNEL_BUFFER_BYTES)
 
     def reset_on_close(self) -> None:
-        """Have `close` reset the connection."""
+        """Make `close` reset the connection."""
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
     def shutdown_write(self) -> None:
-        """Send the end of output."""
+        """Close the sending direction of the connection."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """Close the socket and drop unwritten data."""
+        """Close the socket and discard unwritten data."""
         if self.is_open:
             self.is_open = False
             if self._events:
@@ -225,13 +224,13 @@
             self.sock.close()
             self._budget.buffered_bytes -= sum(map(len, self._pending))
             self._pending.clear()
-            # guards against a reference cycle with the owner
+            # Break the reference cycle with the owner.
             self._on_ready = _ignore_ready
             self._budget.release(self._use)
 
 
 class OutboundConnection(ABC):
-    """A connection that this process opens: it connects, and is then written and read."""
+    """A connection that this process opens; it connects, and then writes and reads."""
 
     stream: TcpStream
 
@@ -239,7 +238,7 @@
         self.is_connecting = True
 
     def on_ready(self, events: int) -> None:
-        """The socket is ready."""
+        """Handle socket events."""
         if self.is_connecting:
             self._run_guarded(self._on_connected)
             return
@@ -255,7 +254,7 @@
 
     @abstractmethod
     def _run_guarded(self, step: Callable[[], None]) -> None:
-        """Run a step, and handle the exceptions it raises."""
+        """Run a step, and handle its exceptions."""
 
     @abstractmethod
     def _write(self) -> None:
@@ -275,11 +274,11 @@
 
 
 def dial(address: tuple[str, int], free_descriptor: Callable[[], bool] = lambda: False) -> socket.socket:
-    """Begin to connect; the returned socket becomes writable once it is connected.
+    """Start a non-blocking connect; the returned socket becomes writable once it is connected.
 
     Args:
-        address: host, as an IP address, and port.
-        free_descriptor: closes another descriptor if there is none left; returns whether it closed one.
+        address: IP address and port.
+        free_descriptor: called if no descriptor is left; closes one, and returns whether it closed one.
 
     Raises:
         OSError: the connect failed at once.
--- a/rosepick/net/tls.py
+++ b/rosepick/net/tls.py
@@ -1,4 +1,4 @@
-"""TLS for clients: the server context, and the certificate, which is reread."""
+"""TLS for clients: the server context, and the periodic reload of the certificate."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class TlsError(ValueError):
-    """The TLS settings cannot be used; `name` is the setting at fault."""
+    """Raised for invalid TLS settings; `name` is the invalid setting."""
 
     def __init__(self, name: str, text: str) -> None:
         super().__init__(text)
@@ -42,7 +42,7 @@
     context.options |= ssl.OP_NO_RENEGOTIATION
     context.set_alpn_protocols(["http/1.1"])
     try:
-        # without a password, an encrypted key would prompt at the terminal
+        # Without the password callback, OpenSSL prompts at the terminal for an encrypted key.
         context.load_cert_chain(paths["tls_cert"], paths["tls_key"], password=lambda: "")
     except (ssl.SSLError, ValueError) as error:
         raise _key_pair_error(paths, contents, error) from None
@@ -66,7 +66,7 @@
 
 
 def _key_pair_error(paths: dict[str, str], contents: dict[str, bytes], error: Exception) -> TlsError:
-    """Return the error for the file of the pair that is at fault."""
+    """Return the error for the invalid file of a certificate and key pair."""
     if getattr(error, "reason", None) == "KEY_VALUES_MISMATCH":
         return _unusable_file_error("tls_key", paths, f'does not match tls_cert "{paths["tls_cert"]}"')
     try:
@@ -85,7 +85,7 @@
 
 
 class TlsServer:
-    """The current certificate, reread when its files change; connections keep theirs."""
+    """Holds the current certificate, and reloads it when its files change; open connections keep theirs."""
 
     def __init__(self, loop: EventLoop, file: OperatorFile) -> None:
         self.loop = loop
@@ -99,7 +99,7 @@
     def make_stream(
         self, loop: EventLoop, budget: ResourceBudget, sock: socket.socket, on_ready: ReadyCallback
     ) -> TlsStream:
-        """Create the stream of a connection, with the current certificate."""
+        """Create the stream of a connection with the current certificate."""
         return TlsStream(loop, budget, sock, on_ready, self.context, self.handshakes)
 
     def certificate_fingerprint(self) -> str:
@@ -111,7 +111,7 @@
         return hashlib.sha256(certificate).hexdigest()[:16]
 
     def reload(self, file: OperatorFile) -> None:
-        """Apply an operator file that was reread (SIGHUP), and reread the certificate in any case."""
+        """Apply a reread operator file (SIGHUP), and reload the certificate even if it is unchanged."""
         self.handshakes.queue.cpu_fraction = 0.01 * file.integer("tls_handshake_part")
         self._reload_if_changed(file, {})
         self._schedule_reload()
@@ -128,18 +128,18 @@
         self._schedule_reload()
 
     def _reload_if_changed(self, file: OperatorFile, current_contents: dict[str, bytes]) -> None:
-        """Apply the contents of the files if they have changed and are consistent.
+        """Apply the contents of the files if they differ from `current_contents` and are consistent.
 
-        Guards against a pair of which only one file was replaced so far: the old pair stays in force.
+        While only one file of a certificate and key pair is replaced, the old pair stays in force.
         """
         try:
             contents = self._read_contents(file)
             if contents == current_contents:
                 return
-            self._current_contents = contents  # a failure is logged once, not at each reload
+            self._current_contents = contents  # so that a failure is logged once and not at each reload
             context = make_context(file)
             if self._read_contents(file) != contents:
-                self._current_contents = {}  # being replaced right now: retry at the next reload
+                self._current_contents = {}  # the files are being replaced: retry at the next reload
                 return
         except TlsError as error:
             log_event(logger, logging.ERROR, "tls_reload_failed", text=error)
--- a/rosepick/net/tls_handshakes.py
+++ b/rosepick/net/tls_handshakes.py
@@ -1,4 +1,4 @@
-"""Scheduling of TLS handshakes."""
+"""Scheduler of TLS handshakes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class HandshakeScheduler:
-    """Limits the share of CPU time for handshakes, as a burst of them would delay responses."""
+    """Limits the share of CPU time for handshakes, because a burst of them would delay responses."""
 
     def __init__(
         self, loop: EventLoop, cpu_fraction: float, cpu_clock: Callable[[], float] = time.thread_time
@@ -22,7 +22,7 @@
         self._timer: ScheduledCall | None = None
 
     def try_begin(self, resume: Callable[[], None]) -> bool:
-        """Return whether a handshake may begin now; else `resume` is called when it may."""
+        """Return whether a handshake may start now; otherwise `resume` is called once it may."""
         if self.queue.may_proceed(self.loop.now()):
             return True
         self.queue.enqueue(resume)
@@ -31,7 +31,7 @@
 
     @contextlib.contextmanager
     def measure_cpu(self) -> Iterator[None]:
-        """Charge the CPU time of the block to handshakes."""
+        """Count the CPU time of the block as that of handshakes."""
         started_at = self._cpu_clock()
         try:
             yield
--- a/rosepick/net/tls_stream.py
+++ b/rosepick/net/tls_stream.py
@@ -1,4 +1,4 @@
-"""A TLS stream of one client connection."""
+"""TLS stream of one client connection."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 from .tcp_stream import READ_CHUNK_BYTES, TcpStream
 from .tls_handshakes import HandshakeScheduler
 
-# its lines belong to TLS as a whole, also where log lines are rate limited
+# Log lines and their rate limits count as those of the module `tls`.
 logger = logging.getLogger(f"{__package__}.tls")
 
-MAX_EARLY_BYTES = 64 * 1024  # that a client may send while its handshake waits for its turn
-RECORD_BYTES = 16 * 1024  # read and encrypted at once: the library has buffers of that size
+MAX_EARLY_BYTES = 64 * 1024  # maximum data from a client while its handshake waits for the scheduler
+RECORD_BYTES = 16 * 1024  # chunk size for reads and encryption; the TLS library has buffers of that size
 RECORD_HEADER_BYTES = 5  # type, version and length (RFC 8446, 5.1)
-LENGTH_OFFSET = 3  # of the length in a record header
+LENGTH_OFFSET = 3  # offset of the length in a record header
 
 
 class RecordFraming:
     """Tracks the boundaries of received TLS records.
 
-    Guards against connections that are held for ever by a partial record: the library buffers its bytes
-    without reporting it.
+    The TLS library buffers a partial record without reporting it. Without this check, a client could hold a
+    connection for ever with a partial record.
     """
 
     __slots__ = ("_partial_header", "_remaining_bytes")
 
     def __init__(self) -> None:
         self._partial_header = b""
-        self._remaining_bytes = 0  # of the current record, not yet received
+        self._remaining_bytes = 0  # bytes of the current record that are still missing
 
     def feed(self, data: bytes) -> None:
-        """Track received bytes."""
+        """Update the state with received bytes."""
         offset = 0
         while offset < len(data):
             if self._remaining_bytes:
@@ -58,7 +58,7 @@
 
 
 class HandshakeTurn(Enum):
-    """Whether the scheduler has allowed a handshake to begin."""
+    """Whether the scheduler permits a handshake to start."""
 
     NOT_REQUESTED = 0
     WAITING = 1
@@ -66,7 +66,7 @@
 
 
 class TlsStream(TcpStream):
-    """A TCP stream that encrypts and decrypts, on the server side."""
+    """Server side of a TCP stream that encrypts and decrypts its data."""
 
     __slots__ = (
         "_encrypted",
@@ -98,14 +98,14 @@
         self._encrypted = memoryview(b"")  # encrypted, not yet written
         self._framing = RecordFraming()
         self._handshake_begun = False
-        self._handshake_complete = False  # the handshake is complete
+        self._handshake_complete = False
         self._peer_closed = False  # the client has ended its side of the connection
         super().__init__(loop, budget, sock, on_ready)
 
     # ------------------------------------------------------------------------------------------ reading
 
     def read(self, _max_bytes: int = READ_CHUNK_BYTES) -> bytes | None:
-        """Return decrypted data, whatever its length: what the library buffered would wake no selector."""
+        """Return all decrypted data, as data left in the TLS library would not wake the selector."""
         if self._peer_closed:
             return b""
         try:
@@ -120,7 +120,7 @@
         return self._process_input()
 
     def _process_input(self) -> bytes | None:
-        """Continue the handshake, or decrypt; an error is logged and raised."""
+        """Continue the handshake, or decrypt; a TLS error is logged and raised again."""
         try:
             return self._decrypt() if self._handshake_complete or self._step_handshake() else None
         except ssl.SSLError as error:
@@ -146,10 +146,10 @@
         return True
 
     def _may_begin_handshake(self) -> bool:
-        """Return whether the handshake may begin.
+        """Return whether the handshake may start.
 
         Raises:
-            OSError: the client has sent too much meanwhile: guards against filling the memory.
+            OSError: the client has sent more than `MAX_EARLY_BYTES`; the limit bounds the memory.
         """
         if self._incoming.pending > MAX_EARLY_BYTES:
             raise OSError("too much was sent before the handshake")
@@ -179,7 +179,7 @@
         self.flush()
         data = b"".join(parts)
         if data and self._peer_closed:
-            # the end was received with the last data: no selector will report it
+            # The end of input arrived with the last data, and the selector does not report it again.
             self._loop.call_after(0.0, self._trigger_read)
         return data if data or self._peer_closed else None
 
@@ -188,19 +188,19 @@
             self._on_ready(READ)
 
     def _log_refusal(self, error: ssl.SSLError) -> None:
-        """Send the alert to the client, if it can be written, and log a failed handshake."""
+        """Send the TLS alert to the client, if possible, and log a failed handshake."""
         with contextlib.suppress(OSError):
             self.flush()
         if not self._handshake_complete:
-            self._handshake_begun = False  # it is logged here, not at the close
+            self._handshake_begun = False  # logged here, so not again at the close
             log_event(logger, logging.WARNING, "tls_refused", reason=(error.reason or str(error)).lower())
 
     def has_nothing_to_read(self) -> bool:
-        """Whether there is neither unread data nor an end of input."""
+        """Whether there is neither unread data nor an end of input or error."""
         return not self._peer_closed and super().has_nothing_to_read()
 
     def has_partial_record(self) -> bool:
-        """Whether a handshake or a record is incomplete."""
+        """Whether a started handshake or a record is incomplete."""
         return (self._handshake_begun and not self._handshake_complete) or self._framing.has_partial_record()
 
     def is_established(self) -> bool:
@@ -210,7 +210,7 @@
     # ------------------------------------------------------------------------------------------ writing
 
     def flush(self) -> None:
-        """Write buffered data; only one chunk at a time is buffered both plain and encrypted."""
+        """Write buffered data; at most one chunk at a time is buffered in encrypted form."""
         while True:
             if not self._encrypted:
                 self._encrypted = memoryview(self._next_encrypted())
@@ -224,7 +224,7 @@
             self._encrypted = self._encrypted[count:]
 
     def _next_encrypted(self) -> bytes:
-        """Return what the library has to send, else the next chunk of data, encrypted."""
+        """Return pending output of the TLS library, or else the next chunk of data in encrypted form."""
         if not self._outgoing.pending and self._pending and self._handshake_complete:
             parts: list[memoryview] = []
             space = RECORD_BYTES
@@ -236,7 +236,7 @@
                 space -= len(parts[-1])
             chunk = memoryview(b"".join(parts))
             self._budget.buffered_bytes -= len(chunk)
-            while chunk:  # the library may take a part only
+            while chunk:  # the library may accept only a part
                 chunk = chunk[self._ssl.write(chunk) :]
         data = self._outgoing.read()
         self._budget.buffered_bytes += len(data)
@@ -247,12 +247,12 @@
         return bool(self._pending or self._encrypted or self._outgoing.pending)
 
     def shutdown_write(self) -> None:
-        """Send the end of output: close_notify, then that of TCP."""
+        """Send close_notify, and then close the sending direction of the TCP connection."""
         self._send_close_notify()
         super().shutdown_write()
 
     def _send_close_notify(self) -> None:
-        """Send close_notify, unless a response is cut off: the client must notice that."""
+        """Send close_notify, unless a response is truncated, so that the client detects the truncation."""
         if self._handshake_complete and not self.has_unwritten():
             with contextlib.suppress(OSError):
                 self._ssl.unwrap()
@@ -260,7 +260,7 @@
                 self.flush()
 
     def close(self) -> None:
-        """Close the connection and drop unwritten data; an incomplete handshake is logged."""
+        """Close the connection and discard unwritten data; an incomplete handshake is logged."""
         if self.is_open:
             self._send_close_notify()
             if self._handshake_begun and not self._handshake_complete:
--- a/rosepick/net/upstream_connection.py
+++ b/rosepick/net/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream: it carries one attempt at a time."""
+"""One connection to an upstream; it carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     TcpStream,
 )
 
-# its lines belong to the upstream pool, also where log lines are rate limited
+# Log lines and their rate limits count as those of the upstream pool.
 logger = logging.getLogger(f"{__package__}.upstream_pool")
-EXTRA_READS = 3  # further reads of a streamed response on one event
+EXTRA_READS = 3  # maximum further reads of a streamed response per socket event
 
 
 class ConnectionPool(Protocol):
-    """What an upstream connection needs of its pool."""
+    """The interface of the pool towards its connections."""
 
     loop: EventLoop
     budget: ResourceBudget
@@ -47,7 +47,7 @@
     streaming: dict[UpstreamConnection, None]
 
     def connect_timeout_for(self, address: tuple[str, int]) -> ConnectTimeout:
-        """Return the adaptive timeout of connects to an address."""
+        """Return the adaptive connect timeout of an address."""
 
     def may_write(self, attempt: UpstreamAttempt, had_to_connect: bool) -> bool:
         """Return whether the first byte of an attempt may be written now."""
@@ -59,14 +59,14 @@
         """Keep a connection for the next attempt."""
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
-        """Forget a connection, if it is idle."""
+        """Remove a connection from the idle ones, if it is idle."""
 
     def record_early_close(self, connection: UpstreamConnection) -> None:
         """Record that an upstream closed an idle connection."""
 
 
 class UpstreamConnection(OutboundConnection):
-    """One connection to an upstream."""
+    """Connection to an upstream that sends requests and receives responses of attempts."""
 
     def __init__(self, pool: ConnectionPool, entry: EndpointEntry, sock: socket.socket) -> None:
         super().__init__()
@@ -81,14 +81,14 @@
         self.attempt: UpstreamAttempt | None = None
         self.idle_since = 0.0
         self.buffered_bytes = 0
-        self.stalled_at: float | None = None  # when a partial response counts as malformed
-        self.retired = False  # its endpoint drains, left or restarted
-        self.response_body: BodyStream | None = None  # of the response that is being streamed
-        self.last_progress_at = 0.0  # when data of it was last received, or its client read
+        self.stalled_at: float | None = None  # when a partial response without progress counts as malformed
+        self.retired = False  # its endpoint drains, left the endpoint list or restarted
+        self.response_body: BodyStream | None = None  # body of the response that is being streamed
+        self.last_progress_at = 0.0  # when data of that response was last received or read by its client
         self.stream = TcpStream(pool.loop, pool.budget, sock, self.on_ready, WRITE, DescriptorUse.UPSTREAM)
 
     def start(self, attempt: UpstreamAttempt, request: ForwardedRequest) -> None:
-        """Begin an attempt; its request is written as soon as the connection is established."""
+        """Begin an attempt; its request is written once the connection is established."""
         self.attempt = attempt
         self._build_exchange(attempt, request)
         if request.body_stream is not None:
@@ -97,19 +97,19 @@
             self._run_guarded(self._write)
 
     def withdraw_attempt(self, result: Result) -> None:
-        """End an attempt of which nothing was written yet."""
+        """End an attempt before any of its bytes was written."""
         attempt = self.attempt
         self.close()
         if attempt is not None:
             self.pool.finish_attempt(attempt, AttemptResult(result))
 
     def _on_more_request_body(self) -> None:
-        """Continue writing a streamed request body."""
+        """Continue to write a streamed request body."""
         if self.exchange is not None and not self.is_connecting:
             self._run_guarded(self._write)
 
     def _build_exchange(self, attempt: UpstreamAttempt, request: ForwardedRequest) -> None:
-        """Encode the request, which states the time left to its deadline."""
+        """Encode the request with the time that remains until its deadline."""
         self.exchange = HttpExchange(request, self.host, attempt.stop_at - self.pool.loop.now())
 
     def _on_connected(self) -> None:
@@ -121,7 +121,7 @@
             self.withdraw_attempt(Result.NEVER_SENT)
             return
         if attempt is not None and isinstance(attempt.request.payload, ForwardedRequest):
-            # less time is left than when the connect began
+            # Encode again, because less time remains than at the start of the connect.
             self._build_exchange(attempt, attempt.request.payload)
         super()._on_connected()
 
@@ -134,7 +134,8 @@
             )
             self._finish(self.exchange.broken_result() if self.exchange is not None else None)
         except Exception as error:
-            # Guards against a socket that stays ready and raises the same again at once, without end.
+            # Finish the attempt: otherwise the socket stays ready and raises the same exception in an endless
+            # loop.
             self.pool.loop.fault_count += 1
             log_exception(
                 logger, "upstream_fault", error, endpoint=self.endpoint_id, count=self.pool.loop.fault_count
@@ -151,7 +152,7 @@
                 if exchange.is_sent() and self.attempt is not None:
                     self.pool.engine.mark_attempt_written(self.attempt)
             except OSError:
-                self._read()  # an early response may have preceded the break
+                self._read()  # the upstream may have sent an early response before it closed
                 if self.exchange is exchange:
                     raise
                 return
@@ -168,7 +169,7 @@
             return
         if self.exchange is None:
             self.pool.record_early_close(self)
-            self._finish(None)  # idle: closed by the upstream, or it sent unrequested data
+            self._finish(None)  # the upstream closed an idle connection or sent unsolicited data
             return
         exchange = self.exchange
         result = exchange.feed(data) if data else exchange.feed_eof()
@@ -183,7 +184,7 @@
     def _stream_response(
         self, exchange: HttpExchange, result: AttemptResult | None, extra_reads: int
     ) -> None:
-        """Forward received data of a streamed response."""
+        """Forward received data of a streamed response to the client."""
         self.last_progress_at = self.pool.loop.now()
         if self.response_body is None and not self._begin_streaming(exchange):
             return
@@ -192,17 +193,18 @@
         for part in exchange.take_body():
             body.write(part)
         if self.response_body is not body:
-            return  # the client left while it was written to
+            return  # the client disconnected during the write
         if result is not None:
             self._finish_streaming(result)
         elif body.pause_if_full():
-            self.stream.set_events(0)  # the client has to read first
+            self.stream.set_events(0)  # wait until the client has read
         elif extra_reads:
-            # read what was received meanwhile: an event for each part would cost as much as the part
+            # Read data received in the meantime, because an event for each part costs as much as the part
+            # itself.
             self._read(extra_reads - 1)
 
     def _begin_streaming(self, exchange: HttpExchange) -> bool:
-        """Hand a response that has begun to the engine; return whether it is still streamed."""
+        """Pass the head of a response to the engine; return whether the response is still streamed."""
         attempt = self.attempt
         assert attempt is not None
         self._set_buffered_bytes(0)
@@ -222,13 +224,13 @@
         return self.response_body is body
 
     def _resume_reading(self) -> None:
-        """Continue reading a streamed response, as its client has read."""
+        """Continue to read a streamed response after its client has read."""
         if self.response_body is not None:
             self.last_progress_at = self.pool.loop.now()
             self.stream.set_events(READ)
 
     def _finish_streaming(self, result: AttemptResult) -> None:
-        """End a streamed response, complete or not."""
+        """End a streamed response, complete or truncated."""
         body, attempt, self.response_body = self.response_body, self.attempt, None
         assert body is not None
         assert attempt is not None
@@ -255,7 +257,7 @@
             body.abort()
 
     def check_progress(self, now: float) -> None:
-        """End a streamed response that makes no progress."""
+        """Abort a streamed response without progress for `NO_PROGRESS_TIMEOUT_MS`."""
         if (
             self.response_body is not None
             and self.response_body.writable_bytes()
@@ -264,9 +266,9 @@
             self._finish_streaming(AttemptResult(Result.RESET))
 
     def _buffer_partial_response(self, exchange: HttpExchange) -> AttemptResult | None:
-        """Account for a partial response; return a result if there is no memory for it, or None.
+        """Count a partial response against the memory budget; return a failed result if it is exceeded.
 
-        Guards against many large responses at once.
+        The budget bounds the memory for many large responses at the same time.
         """
         self._set_buffered_bytes(exchange.buffered_bytes())
         if self.pool.budget.buffered_bytes > self.pool.budget.max_buffered_bytes:
@@ -279,7 +281,8 @@
     def _check_stall(self, exchange: HttpExchange) -> None:
         """End an attempt whose partial response makes no progress while the connection stays open.
 
-        Otherwise it would last until its deadline, while another attempt might still be in time.
+        Otherwise the attempt would last until its deadline, although another attempt might still succeed in
+        time.
         """
         if self.exchange is not exchange or self.stalled_at is None:
             return
@@ -290,12 +293,12 @@
             self._finish(exchange.malformed_result())
 
     def _set_buffered_bytes(self, byte_count: int) -> None:
-        """Set how many bytes of a response are buffered."""
+        """Set the number of buffered bytes of a response, also in the memory budget."""
         self.pool.budget.buffered_bytes += byte_count - self.buffered_bytes
         self.buffered_bytes = byte_count
 
     def _finish(self, result: AttemptResult | None) -> None:
-        """End the attempt with a result, or an idle connection with None."""
+        """End the attempt with `result`; None ends an idle connection."""
         if self.response_body is not None:
             self._finish_streaming(result or AttemptResult(Result.RESET))
             return
@@ -315,10 +318,10 @@
             self.pool.finish_attempt(attempt, result)
 
     def _classify_first_response(self, result: AttemptResult) -> AttemptResult:
-        """Tell a refused connection from a refused request.
+        """Distinguish a rejected connection from a rejected request.
 
-        Guards against an upstream without a slot for another connection that is taken for one whose queue is
-        full: its keys would be placed elsewhere, and retries be spent on it.
+        An upstream at its connection limit must not be mistaken for one with a full queue: its keys would be
+        placed on other nodes, and retries would be spent on it.
         """
         is_first = not self.has_had_response
         self.has_had_response = True
@@ -330,7 +333,7 @@
         return result
 
     def close(self) -> None:
-        """Close the connection, and give up the attempt on it."""
+        """Close the connection, and abandon its attempt."""
         self.attempt = None
         self.exchange = None
         self.response_body = None
--- a/rosepick/net/upstream_pool.py
+++ b/rosepick/net/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to upstreams."""
+"""Pool of connections to upstreams."""
 
 from __future__ import annotations
 
@@ -23,25 +23,26 @@
 from .upstream_connection import UpstreamConnection
 
 logger = logging.getLogger(__name__)
-IDLE_TIMEOUT_FRACTION = 0.7  # of an upstream's own idle timeout: connections are closed here before it
-SWEEP_INTERVAL_MS = 500.0  # between checks of idle connections; shorter with a short keep-alive ...
-MIN_SWEEP_INTERVAL_MS = 50.0  # ... down to this
-SWEEP_FRACTION = 0.25  # of the shortest keep-alive
-STALL_FRACTION_OF_TARGET = 0.2  # of the shortest objective: a partial response without progress is malformed
-EARLY_CLOSE_MS = 100.0  # an upstream that closes an idle connection sooner never meant to keep it
-EARLY_CLOSE_CAUTION_MS = 60_000.0  # after such a close, connections rest before they are used again ...
-REST_MARGIN = 1.2  # ... for so many times the age at which it was closed
-MAX_TRACKED_ENDPOINTS = 4_096  # addresses whose connect timeouts are kept
+IDLE_TIMEOUT_FRACTION = 0.7  # maximum keep-alive time, as a fraction of an upstream's idle timeout
+SWEEP_INTERVAL_MS = 500.0  # maximum interval of the checks of idle connections
+MIN_SWEEP_INTERVAL_MS = 50.0  # minimum interval of these checks
+SWEEP_FRACTION = 0.25  # interval of these checks, as a fraction of the shortest keep-alive time
+# Time without progress after which a partial response is malformed, as a fraction of the shortest objective.
+STALL_FRACTION_OF_OBJECTIVE = 0.2
+EARLY_CLOSE_MS = 100.0  # an upstream that closes an idle connection sooner does not support keep-alive
+REUSE_DELAY_DURATION_MS = 60_000.0  # how long the reuse of idle connections is delayed after an early close
+REUSE_DELAY_FACTOR = 1.2  # reuse delay, as a multiple of the idle time at the early close
+MAX_TRACKED_ENDPOINTS = 4_096  # maximum number of addresses with a connect timeout of their own
 
 
 def _body_was_consumed(payload: object) -> bool:
-    """Whether data of a streamed request body was sent, so that it cannot be sent again."""
+    """Whether part of a streamed request body was sent, so that the body cannot be sent again."""
     assert isinstance(payload, ForwardedRequest)
     return payload.body_stream is not None and payload.body_stream.is_partly_read
 
 
 class UpstreamPool:
-    """All connections to upstreams."""
+    """Holds all connections to upstreams, and starts attempts on them."""
 
     def __init__(
         self, loop: EventLoop, budget: ResourceBudget, endpoint_directory: EndpointDirectory, config: Config
@@ -50,7 +51,7 @@
         self.budget = budget
         self.endpoint_directory = endpoint_directory
         self.origin_kind = config.settings.origin_kind
-        # by whether it is the origin, which has limits of its own
+        # keyed by whether the upstream is the origin, which has its own connection limit
         self.keep_alive = {
             is_origin: KeepAliveController(
                 config.idle_timeout_ms * IDLE_TIMEOUT_FRACTION, config.settings.routers
@@ -65,18 +66,20 @@
         self.streaming: dict[UpstreamConnection, None] = {}  # busy ones whose response is streamed
         self.idle: dict[int, list[UpstreamConnection]] = {}  # by endpoint id; the most recently used last
         self.idle_by_age: OrderedDict[UpstreamConnection, None] = OrderedDict()  # the longest idle first
-        self.min_rest_ms = 0.0  # that a connection rests before it is used again ...
-        self.early_close_caution_until = 0.0  # ... up to this time
+        self.reuse_delay_ms = (
+            0.0  # minimum idle time before a connection is reused, until `reuse_delay_until`
+        )
+        self.reuse_delay_until = 0.0
         self.zone = config.settings.zone
         loop.call_after(SWEEP_INTERVAL_MS, self._close_expired_idle)
 
     def apply(self, config: Config) -> None:
-        """Apply another configuration."""
+        """Apply a changed configuration."""
         self.connect_timeout_ms = config.connect_timeout_ms
         for controller in self.keep_alive.values():
             controller.set_max_keep_alive(config.idle_timeout_ms * IDLE_TIMEOUT_FRACTION)
         shortest_objective_ms = min(entry.objective_ms for entry in config.settings.classes)
-        self.stall_timeout_ms = STALL_FRACTION_OF_TARGET * shortest_objective_ms
+        self.stall_timeout_ms = STALL_FRACTION_OF_OBJECTIVE * shortest_objective_ms
 
     # ---------------------------------------------------------------------------- calls of the engine
 
@@ -87,7 +90,7 @@
         if not self.may_write(attempt, had_to_connect=False):
             self.finish_attempt(attempt, AttemptResult(Result.NEVER_SENT))
             return
-        endpoint = self.endpoint_directory.endpoints[attempt.endpoint_id]  # listed, as it may be written to
+        endpoint = self.endpoint_directory.endpoints[attempt.endpoint_id]  # `may_write` implies an entry
         if endpoint.zone != self.zone:
             self.engine.counts["cross_zone_attempts"] += 1
         connection = self._take_idle(attempt.endpoint_id)
@@ -102,24 +105,24 @@
         connection.start(attempt, request)
 
     def _finish_failed_dial(self, attempt: UpstreamAttempt, error: OSError) -> None:
-        """End an attempt whose connect failed at once; a local failure says nothing of the endpoint."""
+        """End an attempt whose connect failed at once; local failures do not count against the endpoint."""
         is_local = error.errno in LOCAL_FAILURE_ERRNOS
         self.engine.counts["local_connect_failures"] += is_local
         result = Result.NEVER_SENT if is_local else Result.CONNECT_FAILED
         self.finish_attempt(attempt, AttemptResult(result))
 
     def cancel_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Close the attempt's connection: its response could be taken for that of the next request."""
+        """Close the connection of an attempt; its response could be mistaken for that of a later request."""
         connection = self.busy.pop(attempt, None)
         if connection is not None:
             connection.close()
 
     def retire_endpoints(self, endpoint_ids: tuple[int, ...]) -> None:
-        """Retire the connections to endpoints that drain, left or restarted.
+        """Retire the connections to endpoints that drain, left the endpoint list or restarted.
 
-        Idle ones are closed, busy ones close after their attempt. An attempt whose connection is still being
-        established is withdrawn, and its request goes elsewhere: guards against beginning it after the drain
-        was announced. The decision module must have been notified before.
+        Idle connections are closed now, busy ones after their attempt. An attempt whose connection is not yet
+        established is withdrawn, so that it does not start after the drain was announced; its request goes to
+        another endpoint. The caller must notify the decision module first.
         """
         for endpoint_id in endpoint_ids:
             for connection in list(self.idle.get(endpoint_id, ())):
@@ -166,33 +169,35 @@
     def record_early_close(self, connection: UpstreamConnection) -> None:
         """Record that an upstream closed an idle connection.
 
-        Guards against requests on connections that are closed right after a response, which end as resets:
-        while that happens, connections rest before they are used again.
+        An upstream that closes connections right after a response resets the next request on them. After such
+        a close, connections are reused only after a minimum idle time.
         """
-        rest_ms = self.loop.now() - connection.idle_since
-        if rest_ms < EARLY_CLOSE_MS:
-            self.min_rest_ms = max(self.min_rest_ms, REST_MARGIN * rest_ms)
-            self.early_close_caution_until = self.loop.now() + EARLY_CLOSE_CAUTION_MS
+        idle_ms = self.loop.now() - connection.idle_since
+        if idle_ms < EARLY_CLOSE_MS:
+            self.reuse_delay_ms = max(self.reuse_delay_ms, REUSE_DELAY_FACTOR * idle_ms)
+            self.reuse_delay_until = self.loop.now() + REUSE_DELAY_DURATION_MS
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
-        """Forget a connection, if it is idle."""
+        """Remove a connection from the idle ones, if it is idle."""
         if connection in self.idle_by_age:
             del self.idle_by_age[connection]
             connections = self.idle[connection.endpoint_id]
             connections.remove(connection)
-            if not connections:  # guards against an entry for each endpoint that ever existed
+            if not connections:  # keep no entries of endpoints without connections
                 del self.idle[connection.endpoint_id]
 
     # ---------------------------------------------------------------------------------- connections
 
     def _take_idle(self, endpoint_id: int) -> UpstreamConnection | None:
         now = self.loop.now()
-        if now > self.early_close_caution_until:
-            self.min_rest_ms = 0.0
+        if now > self.reuse_delay_until:
+            self.reuse_delay_ms = 0.0
         for connection in self.idle.get(endpoint_id, [])[::-1]:
-            if now - connection.idle_since < self.min_rest_ms:
+            if now - connection.idle_since < self.reuse_delay_ms:
                 continue
-            if connection.stream.has_nothing_to_read():  # still usable, as far as can be known here
+            if (
+                connection.stream.has_nothing_to_read()
+            ):  # neither closed nor unsolicited data, as far as known
                 self.remove_idle(connection)
                 return connection
             self.record_early_close(connection)
@@ -228,7 +233,7 @@
         )
 
     def connect_timeout_for(self, address: tuple[str, int]) -> ConnectTimeout:
-        """Return the adaptive timeout of connects to an address; the least recently used are forgotten."""
+        """Return the adaptive connect timeout of an address; the least recently used entry is evicted."""
         timeout = self.connect_timeouts.get(address)
         if timeout is None:
             timeout = self.connect_timeouts[address] = ConnectTimeout(self.connect_timeout_ms)
@@ -241,7 +246,7 @@
         attempt = connection.attempt
         if not connection.is_connecting or not connection.stream.is_open or attempt is None:
             return
-        # guards against a loop that was busy: timers run before sockets are polled
+        # After a long turn of the loop, timers run before sockets are polled: the connect may have succeeded.
         if connection.stream.is_connected():
             connection.on_ready(WRITE)
         else:
@@ -249,16 +254,16 @@
             connection.withdraw_attempt(Result.CONNECT_FAILED)
 
     def close_oldest_idle(self) -> bool:
-        """Close the connection that was idle for longest; return False if there is none."""
+        """Close the connection that has been idle longest; return False if there is none."""
         for connection in self.idle_by_age:
             connection.close()
             return True
         return False
 
     def _close_expired_idle(self) -> None:
-        """Close connections that were idle for long, well before the upstream does.
+        """Close idle connections whose keep-alive time is over, well before the upstream closes them.
 
-        A request on a connection that the upstream has closed would end as a reset.
+        A request on a connection that the upstream closes at the same time would fail with a reset.
         """
         shortest_ms = min(controller.keep_alive_ms for controller in self.keep_alive.values())
         interval_ms = max(MIN_SWEEP_INTERVAL_MS, min(SWEEP_INTERVAL_MS, SWEEP_FRACTION * shortest_ms))
