--- a/tests/connection_simulation.py
+++ b/tests/connection_simulation.py
@@ -1,4 +1,4 @@
-"""A simulation of a listener and its clients, for tests of the connection policy."""
+"""Simulation of a listener and its clients for tests of the connection policy."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from rosepick.connections.policy import ConnectionPolicy
 
 STEPS = ("open", "request", "respond", "linger", "close")
-"""What can happen to a connection in random runs."""
+"""Steps of a connection in randomized tests."""
 
 
 class ListenerSimulation:
-    """A connection table and a policy on a clock, driven as the listener does it. Times are milliseconds.
+    """Drives a connection table and a policy as the listener does, on a simulated clock in milliseconds.
 
     Args:
-        descriptors: how many descriptors the process may hold.
-        configured_limit: the operators' limit of what clients may hold.
-        client_limit: how many connections the clients hold at most.
+        descriptors: the maximum number of descriptors of the process.
+        configured_limit: the configured limit of client connections; None if it is learned.
+        client_limit: the maximum number of connections that the clients hold.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         return sum(record.state is not ConnectionState.NEW for record in self.open)
 
     def pass_time(self, elapsed_ms: float) -> None:
-        """Let time pass, with the reviews that are due in it."""
+        """Advance the clock, and run the reviews that are due."""
         until = self.now + elapsed_ms
         while self._next_review_at <= until:
             self.now = self._next_review_at
@@ -58,20 +58,20 @@
         self.now = until
 
     def connect(self, peer: str = "p") -> ConnectionRecord:
-        """A client opens a connection."""
+        """Open a connection of a client."""
         record = self.table.add_connection(None, "http", peer, self.now)
         self.open.append(record)
         self.budget.acquire(DescriptorUse.DOWNSTREAM)
         return record
 
     def begin_request(self, record: ConnectionRecord) -> None:
-        """A request arrives on a connection."""
+        """Begin a request on a connection."""
         record.mark_bytes_received(self.now)
         self.table.begin_request(record, self.now)
         self.policy.record_request(record, self.now)
 
     def respond(self, record: ConnectionRecord) -> bool:
-        """Write the response; return False if it ends the connection, upon which its client closes."""
+        """Write the response; return False if the connection closes after it."""
         is_last = self.policy.should_close_after_response(record, self.now)
         self.table.record_response(record, 200)
         if is_last:
@@ -82,7 +82,7 @@
         return not is_last
 
     def request_once(self, peer: str = "p", duration_ms: float = 20.0) -> ConnectionRecord | None:
-        """A client sends one request on a new connection, if it may open one, and then holds it."""
+        """Send one request on a new connection that stays open; None if the clients' limit is reached."""
         if self.held_count() >= self.client_limit:
             return None
         record = self.connect(peer)
@@ -91,7 +91,7 @@
         return record if self.respond(record) else None
 
     def close(self, record: ConnectionRecord, reason: CloseReason) -> None:
-        """A connection is closed."""
+        """Close a connection."""
         self.table.mark_closed(record, reason, self.now)
         self.policy.record_close(record)
         self.open.remove(record)
@@ -107,9 +107,9 @@
     interval_ms: float,
     peer: Callable[[int], str] = lambda n: f"h{n}",
 ) -> int:
-    """Send requests of 20 ms, each on a connection of its own that its client would hold for ever.
+    """Send requests of 20 ms, each on a new connection that its client never closes.
 
-    Returns how many of them found no free slot.
+    Returns the number of requests that found no free slot.
     """
     missed = 0
     in_progress: list[tuple[float, ConnectionRecord]] = []
--- a/tests/test_connection_policy.py
+++ b/tests/test_connection_policy.py
@@ -1,4 +1,4 @@
-"""The decisions on client connections: which ones are closed, and when."""
+"""Tests of the connection policy: which client connections are closed, and when."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def test_one_shot_clients_find_free_slots_from_the_first_second() -> None:
-    """Clients that hold their connections for ever, right from the start, when nothing is learned yet."""
+    """Clients hold their connections for ever from the start, before any limit is learned."""
     for client_limit, configured_limit in ((128, None), (85, 85)):
         descriptors = 384 if configured_limit is None else 256
         simulation = ListenerSimulation(descriptors, configured_limit, client_limit)
@@ -33,8 +33,8 @@
     assert missed < 0.08 * 5_000
 
 
-def test_reusing_clients_keep_their_connections_beside_one_shot_clients() -> None:
-    """Twenty clients that send requests all the time need not open a connection for each of them."""
+def test_connections_of_reusing_clients_are_kept_beside_one_shot_clients() -> None:
+    """Twenty clients that send requests continuously rarely need a new connection."""
     simulation = ListenerSimulation()
     records = [simulation.connect(f"u{n}") for n in range(20)]
     reopened = 0
@@ -62,7 +62,7 @@
     send_one_shot_requests(simulation, 500, 4.0)
     for peer, is_kept in (("good", True), ("new", False)):
         closed_count = 0
-        for _ in range(8):  # one in eight is kept as a sample
+        for _ in range(8):  # one in eight connections is kept as a sample
             record = simulation.connect(peer)
             simulation.begin_request(record)
             closed_count += not simulation.respond(record)
@@ -71,8 +71,8 @@
         assert (closed_count == 0) == is_kept
 
 
-def test_assumption_of_no_reuse_does_not_confirm_itself() -> None:
-    """After clients that never reused a connection come others that would, if theirs were kept open."""
+def test_samples_reveal_that_connections_are_reused_again() -> None:
+    """After clients that never reuse connections, others reuse theirs if the router keeps them open."""
     simulation = ListenerSimulation()
     send_one_shot_requests(simulation, 1_000, 3.0)
     for open_record in simulation.open[:]:
@@ -95,9 +95,9 @@
 def send_periodic_requests(
     simulation: ListenerSimulation, client_count: int, interval_ms: float, duration_ms: float
 ) -> tuple[int, int]:
-    """Send requests of clients that keep a connection each.
+    """Send periodic requests of clients that each keep one connection.
 
-    Returns how many requests there were in the last quarter of the time, and how many of them needed a new
+    Returns the number of requests in the last quarter of the time, and how many of these needed a new
     connection.
     """
     records: dict[int, ConnectionRecord] = {}
@@ -125,10 +125,10 @@
     ("configured_limit", "client_count", "interval_ms"),
     [(None, 20, 3_000.0), (None, 60, 300.0), (None, 100, 3_000.0), (None, 140, 300.0), (128, 128, 300.0)],
 )
-def test_periodic_clients_keep_their_connections(
+def test_connections_of_periodic_clients_are_kept(
     configured_limit: int | None, client_count: int, interval_ms: float
 ) -> None:
-    """No client is above any limit: closing must neither begin without need nor keep itself going."""
+    """No limit is exceeded, so evictions must neither start without need nor cause further evictions."""
     simulation = ListenerSimulation(configured_limit=configured_limit)
     request_count, opened_count = send_periodic_requests(simulation, client_count, interval_ms, 40_000.0)
     assert request_count > 60
@@ -136,7 +136,7 @@
 
 
 def test_handshake_does_not_count_as_delay_of_the_client() -> None:
-    """With TLS the first bytes of a request arrive late, if the handshake has to wait for its turn."""
+    """With TLS, the first bytes of a request arrive late if the handshake has to wait."""
     simulation = ListenerSimulation()
     for n in range(300):
         record = simulation.connect(f"h{n}")
@@ -155,7 +155,7 @@
         record = simulation.connect(f"p{n}")
         simulation.begin_request(record)
         simulation.table.mark_idle(record, simulation.now)
-    simulation.policy._next_eviction_at = 7_900.0  # nothing was closed for capacity so far
+    simulation.policy._next_eviction_at = 7_900.0  # no eviction so far
     simulation.pass_time(7_950.0)
     for _ in range(2):
         record = simulation.connect("q")
@@ -165,7 +165,7 @@
     assert simulation.closed[CloseReason.IDLE_TIMEOUT] == 38
 
 
-def test_address_within_its_quota_does_not_pay_for_one_that_exceeds_it() -> None:
+def test_address_within_its_quota_is_not_closed_because_another_exceeds_its_own() -> None:
     simulation = ListenerSimulation(configured_limit=100, client_limit=100)
     for peer, count in (("big", 66), ("small", 15), *((f"p{n}", 1) for n in range(8))):
         for _ in range(count):
@@ -182,21 +182,19 @@
         simulation.begin_request(record)
         record.close_reason = None
     for record in records:
-        simulation.table.mark_idle(
-            record, simulation.now
-        )  # a proxy that reads responses ahead: none of them ended it
+        simulation.table.mark_idle(record, simulation.now)  # the client is a proxy that reads responses ahead
     assert simulation.policy.free_slots() == 0
     simulation.pass_time(MAX_TIME_WITHOUT_CAPACITY_MS)
     assert simulation.policy.free_slots() > 0
     assert simulation.closed[CloseReason.CAPACITY] >= 2
 
 
-def test_pool_that_reopens_closed_connections_at_once_is_left_alone() -> None:
+def test_evictions_back_off_for_a_pool_that_reopens_connections_at_once() -> None:
     simulation = ListenerSimulation(configured_limit=100, client_limit=100)
 
     def reopen(record: ConnectionRecord) -> None:
         reopened = simulation.connect(record.peer)
-        # it sends a request at some time, so it was not opened for one
+        # Its first request arrives a second later, so the connection was not opened for a request.
         reopened.request_started_at = reopened.opened_at + 1_000.0
         simulation.table.begin_request(reopened, simulation.now)
         simulation.table.mark_idle(reopened, simulation.now)
@@ -211,7 +209,7 @@
     closed_before = simulation.closed[CloseReason.CAPACITY]
     simulation.pass_time(60_000.0)
     assert simulation.policy.unclaimed_evictions >= 4
-    # of 100, two in eight seconds
+    # at most two of 100 connections in eight seconds
     closed_later = simulation.closed[CloseReason.CAPACITY] - closed_before
     assert closed_later <= 2 * 60_000 / MAX_EVICTION_BACKOFF_MS + 2
     assert closed_before < 50
@@ -226,7 +224,7 @@
             simulation.begin_request(record)
             simulation.table.mark_idle(record, simulation.now)
 
-    for _ in range(4):  # each time no client uses the slots for a while: the backoff grows
+    for _ in range(4):  # no client uses the slots for some time, so the backoff grows
         fill()
         simulation.policy._eviction_backoff_ms = 4_000.0
         simulation.pass_time(MAX_TIME_WITHOUT_CAPACITY_MS)
@@ -242,19 +240,19 @@
     ),
     st.integers(8, 24),
 )
-def test_clients_are_never_long_without_a_free_slot_while_a_connection_is_idle(
+def test_slot_becomes_free_in_bounded_time_while_a_connection_is_idle(
     steps: list[tuple[str, int, int]], client_limit: int
 ) -> None:
-    """Whatever came before, within `MAX_TIME_WITHOUT_CAPACITY_MS`."""
+    """After any sequence of events, a slot becomes free within `MAX_TIME_WITHOUT_CAPACITY_MS`."""
     simulation = ListenerSimulation(configured_limit=client_limit, client_limit=client_limit)
     for step, which, peer in steps:
         _simulate_step(simulation, step, which, f"p{peer}")
         assert simulation.table.client_held_count() == simulation.held_count() <= client_limit
-    while simulation.held_count() < client_limit:  # the clients take all slots, and hold them
+    while simulation.held_count() < client_limit:  # the clients take all slots and hold them
         record = simulation.connect("last")
         simulation.begin_request(record)
         simulation.table.mark_idle(record, simulation.now)
-    for record in simulation.open[::2]:  # some of them are active, and stay so
+    for record in simulation.open[::2]:  # half of them become active and stay active
         if record.state is ConnectionState.IDLE:
             simulation.begin_request(record)
     if simulation.held_count() == simulation.table.active_count:
@@ -287,7 +285,7 @@
             simulation.close(record, CloseReason.CLIENT_CLOSED)
 
 
-def test_eviction_order_is_lingering_then_idle_and_spares_the_new() -> None:
+def test_eviction_order_is_lingering_then_idle_and_excludes_new_connections() -> None:
     simulation = ListenerSimulation()
     reused, silent, lingering, used_once, *others = (simulation.connect(peer) for peer in "abcdefgh")
     for record in (reused, reused, used_once, *others):
@@ -301,11 +299,11 @@
     assert order[0] is lingering
     assert new not in order
     assert order.index(used_once) < order.index(reused)
-    assert silent not in simulation.open  # closed by the review: 2.2 s
+    assert silent not in simulation.open  # closed by a review after 2.2 s
     not_urgent = [
         record for record, _ in simulation.policy.select_for_eviction(simulation.now, is_urgent=False)
     ]
-    assert reused in not_urgent  # it has been idle for three seconds
+    assert reused in not_urgent  # it has been idle for three seconds, longer than the minimum of two
     simulation.begin_request(reused)
     simulation.table.mark_idle(reused, simulation.now)
     assert reused not in [
--- a/tests/test_connection_table.py
+++ b/tests/test_connection_table.py
@@ -1,4 +1,4 @@
-"""The connection table, and the estimates from idle times, reuse and quotas."""
+"""Tests of the connection table, idle time estimates, reuse history and address quotas."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def kind_of(record: ConnectionRecord) -> str:
-    """The kind under which `ConnectionTable.counts_by_kind` counts an open connection."""
+    """Return the kind under which `ConnectionTable.counts_by_kind` counts an open connection."""
     if record.state is ConnectionState.NEW:
         return "unused"
     if record.state is ConnectionState.IDLE:
@@ -32,7 +32,7 @@
     return "lingering" if record.state is ConnectionState.LINGERING else "active"
 
 
-def test_every_transition_is_allowed_or_an_error() -> None:
+def test_disallowed_transitions_raise() -> None:
     def make_record_in(state: ConnectionState) -> tuple[ConnectionTable, ConnectionRecord]:
         table = ConnectionTable(0.0)
         record = table.add_connection(None, "http", "p", 0.0)
@@ -66,7 +66,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(STEPS), st.integers(0, 30), st.integers(0, 3)), max_size=120))
-def test_table_always_agrees_with_the_open_connections(steps: list[tuple[str, int, int]]) -> None:
+def test_counts_match_the_open_connections_after_any_steps(steps: list[tuple[str, int, int]]) -> None:
     table = ConnectionTable(0.0)
     states: dict[ConnectionRecord, ConnectionState] = {}
     for now, (step, which, peer) in enumerate(steps):
@@ -93,7 +93,7 @@
 
 
 def _apply_step(table: ConnectionTable, record: ConnectionRecord, step: str, now: float) -> None:
-    """Apply a step, if the state of the connection allows it."""
+    """Apply a step if the state of the connection allows it."""
     if step == "request" and record.state in (
         ConnectionState.NEW,
         ConnectionState.IDLE,
@@ -109,7 +109,7 @@
         table.mark_closed(record, CloseReason.CLIENT_CLOSED, now)
 
 
-def test_table_remembers_the_last_statuses_and_the_reason_that_was_decided() -> None:
+def test_record_keeps_recent_statuses_and_the_close_reason_set_first() -> None:
     table = ConnectionTable(0.0)
     record = table.add_connection(None, "http", "p", 0.0)
     for now, status in enumerate((200, 503, 504, 200, 400)):
@@ -122,12 +122,12 @@
     assert table.closed_by_reason == {CloseReason.NOT_WORTH_KEEPING: 1}
 
 
-def test_expected_idle_time_is_estimated_also_without_any_request() -> None:
+def test_expected_idle_time_is_estimated_without_any_request() -> None:
     queue: IdleQueue[int] = IdleQueue(0.0)
     assert queue.expected_idle_ms(0.0) == 500.0  # the prior
     for n in range(50):
         queue.add(n, 0.0)
-    assert queue.expected_idle_ms(100.0) == 5500.0  # fifty were idle for 100 ms without a request
+    assert queue.expected_idle_ms(100.0) == 5500.0  # fifty connections were idle for 100 ms without a request
     for n in range(50):
         queue.remove(n, 100.0, True)
     assert queue.expected_idle_ms(200.0) == pytest.approx(108, abs=1)
@@ -137,7 +137,7 @@
     expected = []
     for closes_half in (False, True):
         queue: IdleQueue[int] = IdleQueue(0.0)
-        for n in range(200):  # each sends a request after 80 ms, unless it was closed before
+        for n in range(200):  # each sends a request after 80 ms unless it is closed before
             queue.add(n, 100.0 * n)
             is_closed = closes_half and n % 2 == 0
             queue.remove(n, 100.0 * n + (40.0 if is_closed else 80.0), not is_closed)
@@ -145,10 +145,10 @@
     assert expected[0] == pytest.approx(80, rel=0.05)
     assert expected[1] == pytest.approx(
         120, rel=0.05
-    )  # the idle time of closed ones counts, their requests are missing
+    )  # the idle time of closed connections counts, although they sent no request
 
 
-def test_observations_decay() -> None:
+def test_weight_of_old_observations_decays() -> None:
     queue: IdleQueue[int] = IdleQueue(0.0)
     queue.add(1, 0.0)
     queue.remove(1, 60_000.0, True)
@@ -157,7 +157,7 @@
     assert queue.expected_idle_ms(60_000.0) == pytest.approx(500, rel=0.01)
 
 
-def test_reuse_is_likely_after_two_reuses_and_changes_soon() -> None:
+def test_reuse_is_likely_after_two_reuses_and_unlikely_after_two_closes() -> None:
     history = AddressReuseHistory()
     for was_reused, is_likely in ((True, False), (True, True), (True, True), (False, True), (False, False)):
         history.record_use("p", was_reused)
@@ -168,7 +168,7 @@
 
 
 @given(st.lists(st.integers(0, 5), max_size=60), st.integers(8, 200))
-def test_quota_leaves_every_address_its_part(peers: list[int], capacity: int) -> None:
+def test_quota_has_a_minimum_and_a_single_address_may_use_all(peers: list[int], capacity: int) -> None:
     quota = AddressQuota()
     for peer in peers:
         quota.add(str(peer))
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The budget of descriptors, batches of accepts and the throttle of handshakes."""
+"""Tests of the descriptor budget, batches of accepts and the handshake throttle."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
         assert budget.excess() == max(0, budget.used - budget.limit)
 
 
-def test_downstream_keeps_to_its_fraction_and_accepts_nothing_above_a_lowered_limit() -> None:
+def test_downstream_is_limited_to_its_fraction_and_to_a_lowered_limit() -> None:
     budget = DescriptorBudget(RESERVED_FOR_PROGRAM + RESERVED_FOR_FILES + RESERVED_FOR_CONNECTS + 40)
     budget.reclaimers = [lambda: True]
     for _ in range(20):
@@ -59,7 +59,7 @@
     assert not budget.ensure_available(DescriptorUse.DOWNSTREAM)
 
 
-def test_connections_end_with_their_responses_above_a_lowered_limit() -> None:
+def test_connections_above_a_lowered_limit_close_after_their_responses() -> None:
     simulation = ListenerSimulation(descriptors=200)
     records = [simulation.connect(f"p{n}") for n in range(20)]
     for record in records:
@@ -93,7 +93,7 @@
     assert budget.ensure_available(DescriptorUse.BATCH)
     budget.acquire(DescriptorUse.BATCH)
     assert not budget.ensure_available(DescriptorUse.BATCH)
-    assert budget.ensure_available(DescriptorUse.UPSTREAM)  # an accepted request must get its answer
+    assert budget.ensure_available(DescriptorUse.UPSTREAM)  # reserved for accepted requests
     assert reclaimed == ["first", "second"]
 
 
@@ -108,17 +108,17 @@
         for _ in range(batches[-1]):
             simulation.budget.release(DescriptorUse.DOWNSTREAM)
     assert max(batches) <= 200 / 8
-    assert len(batches) < 30  # reviews: under three seconds
+    assert len(batches) < 30  # one per review, so less than three seconds
 
 
-def test_accept_batch_ends_by_number_and_by_time() -> None:
+def test_accept_batch_is_limited_by_number_and_by_time() -> None:
     throttle = AcceptThrottle(0.0)
     assert sum(throttle.try_accept(0.0) for _ in range(100)) == 32
     throttle = AcceptThrottle(0.0)
     assert [throttle.try_accept(now) for now in (0.0, 1.0, 2.9, 3.0)] == [True, True, True, False]
 
 
-def test_handshakes_keep_to_their_fraction_of_the_time_and_to_their_order() -> None:
+def test_handshakes_run_in_order_within_their_fraction_of_the_cpu_time() -> None:
     throttle = HandshakeThrottle(0.25, 0.0)
     begun: list[tuple[float, int]] = []
     now = 0.0
--- a/tests/test_keep_alive.py
+++ b/tests/test_keep_alive.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams that hold only so many: rejected ones are retried, and idle ones kept shorter."""
+"""Upstreams at their connection limit: rejected connections are retried, and idle ones kept for less time."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class ConnectionLimitScenario(Scenario):
-    """The origin holds no further connection."""
+    """The origin has reached its connection limit."""
 
     def play_miss(self, origin_step: str) -> None:
-        """A read misses at its cache node and goes on to the origin."""
+        """Send a read that misses at its cache node and continues at the origin."""
         self.play(f"""
             c1 send GET /api/k1
             s1 expect GET /api/k1
@@ -40,7 +40,7 @@
         self.assertIn(Result.CONNECTION_LIMIT, NEVER_RAN)
         self.assertLess(router.origin.limit, 2.0)  # type: ignore[attr-defined]
 
-    def test_full_queue_and_used_connection_do_not_count_as_rejected_connection(self) -> None:
+    def test_full_queue_and_reused_connection_do_not_count_as_rejected_connection(self) -> None:
         self.play_miss("send 503 '' Srv-Declined=1")
         self.play(f"""
             origin expect GET /api/k1
@@ -50,7 +50,7 @@
             origin expect PUT /api/k2
             origin {REJECT_CONNECTION}
             wait 300
-        """)  # the last one is not the first response of its connection, which therefore had a slot
+        """)  # the last response is not the first one of its connection, so the connection had been accepted
         counts = self.server.engine.counts
         self.assertEqual((counts["attempt_connection_limit"], counts["attempt_busy"]), (0, 2))
 
@@ -65,9 +65,9 @@
 
 
 class KeepAliveControllerTest(unittest.TestCase):
-    """The controller by itself."""
+    """Tests of the controller without a router."""
 
-    def test_begins_by_the_number_of_routers_and_keeps_its_bounds(self) -> None:
+    def test_initial_time_depends_on_the_number_of_routers_and_bounds_hold(self) -> None:
         for router_count, initial_ms in (
             (3, 10_000.0),
             (16, 10_000.0),
@@ -84,12 +84,12 @@
                 self.assertEqual(controller.keep_alive_ms, 2_000.0)
 
     def test_many_routers_converge_within_the_slots_of_an_upstream(self) -> None:
-        """Routers send a request now and then: most connections are accepted, and few slots are empty."""
+        """Routers send occasional requests; most connections are accepted, and few slots stay unused."""
         rng = random.Random(7)
         router_count = 200
         slot_count = 64
         controllers = [KeepAliveController(10_000.0, router_count) for _ in range(router_count)]
-        idle_until = [-1.0] * router_count  # until when a router's connection is kept
+        idle_until = [-1.0] * router_count  # for each router, when its connection closes
         connect_count = 0
         rejected_count = 0
         for step in range(120_000):
--- a/tests/test_late_requests.py
+++ b/tests/test_late_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are read late: their time counts from when they can have come; too late ones are refused."""
+"""Requests that are read late: deadlines count from the earliest arrival, and late requests are refused."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
     [
         (0.0, 400.0, 0.0, None),
         (0.0, 50.0, 9_000.0, None),
-        (310.0, 90.0, 50.0, None),  # it waited for a descriptor, not for the loop
+        (310.0, 90.0, 50.0, None),  # the request waited for a descriptor and not for the loop
         (24.0, 376.0, 300.0, None),
         (30.0, 370.0, 300.0, Denial.READ_LATE),
         (500.0, -100.0, 0.0, Denial.DEADLINE_PASSED),
         (0.0, 0.0, 0.0, Denial.DEADLINE_PASSED),
     ],
 )
-def test_a_request_is_refused_when_too_little_of_its_time_is_left(
+def test_late_request_is_refused_by_an_overloaded_router_or_after_its_deadline(
     read_late_ms: float, time_left_ms: float, busy_ms: float, denial: Denial | None
 ) -> None:
     assert check_accept(AcceptFacts(read_late_ms, time_left_ms, busy_ms)) is denial
 
 
-def test_a_plain_request_is_known_by_its_head() -> None:
+def test_plain_request_is_parsed() -> None:
     assert parse_plain_request(REQUEST, CLASSES) == PlainRequest(1, 480.0)
 
 
@@ -53,12 +53,12 @@
         b"",
     ],
 )
-def test_anything_else_takes_the_usual_way(data: bytes) -> None:
+def test_other_data_is_not_parsed_as_a_plain_request(data: bytes) -> None:
     assert parse_plain_request(data, CLASSES) is None
 
 
 def connected_pair(data: bytes) -> tuple[socket.socket, socket.socket]:
-    """Return a client's socket that has sent data, and the accepted one."""
+    """Return the socket of a client that has sent data, and the accepted socket."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = socket.create_connection(server.getsockname())
         client.sendall(data)
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(("late_ms", "status"), [(200.0, b"503"), (700.0, b"504")])
-def test_a_late_request_gets_its_answer_whole_and_then_the_end(late_ms: float, status: bytes) -> None:
+def test_late_request_gets_a_complete_response_and_the_end_of_input(late_ms: float, status: bytes) -> None:
     client, accepted = connected_pair(REQUEST)
     with client, accepted:
         assert refuse_if_late(
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(("data", "late_ms"), [(REQUEST, 20.0), (REQUEST[:20], 900.0), (b"", 900.0)])
-def test_what_is_not_refused_is_left_unread(data: bytes, late_ms: float) -> None:
+def test_request_that_is_not_refused_stays_unread(data: bytes, late_ms: float) -> None:
     client, accepted = connected_pair(data)
     with client, accepted:
         assert refuse_if_late(accepted, Lateness(late_ms, 300.0), CLASSES, lambda _class_index: 250.0) is None
@@ -96,11 +96,11 @@
             assert accepted.recv(9_999) == data
 
 
-class ReadLate(Scenario):
-    """A router whose loop stood still while a request waited, in the accept queue or on its connection."""
+class LateReadScenario(Scenario):
+    """The loop does not run while a request waits in the accept queue or on its connection."""
 
-    def send_without_a_step(self, headers: str = "") -> None:
-        """Let a client send a request that the router does not read yet."""
+    def send_without_step(self, headers: str = "") -> None:
+        """Send a request of a client, without a step of the router."""
         data = (
             f"GET /api/k1 HTTP/1.1\r\nReq-Id: 01\r\nReq-Kind: read\r\nReq-Owner: acme\r\n"
             f"Req-Deadline: 1.000\r\n{headers}\r\n"
@@ -108,32 +108,32 @@
         self.wire("c1").sock.sendall(data.encode())
 
     def connect(self, where: str) -> None:
-        """Begin with a connection that waits in the accept queue, or one that is established."""
+        """Restart with a client connection in the accept queue or an accepted one."""
         self.tearDown()
         self.setUp()
         self.wire("c1")
         if where == "established":
             self.step()
 
-    def test_a_request_whose_time_is_over_when_it_is_read_is_failed_and_sent_to_nobody(self) -> None:
+    def test_request_read_after_its_deadline_fails_without_an_attempt(self) -> None:
         for where in ("queue", "established"):
             for headers in ("", "Content-Length: 0\r\n"):
                 self.connect(where)
-                self.send_without_a_step(headers)
+                self.send_without_step(headers)
                 self.now += 1.3
                 self.play("c1 expect 504\ns1 expect nothing")
 
-    def test_a_router_that_is_behind_refuses_what_it_reads_late(self) -> None:
+    def test_overloaded_router_refuses_late_requests(self) -> None:
         for where in ("queue", "established"):
             for headers in ("", "Content-Length: 0\r\n"):
                 self.connect(where)
-                self.send_without_a_step(headers)
+                self.send_without_step(headers)
                 self.now += 0.5
                 self.play("c1 expect 503 Retry-After\ns1 expect nothing")
 
-    def test_what_has_waited_for_a_moment_is_served(self) -> None:
+    def test_request_that_waited_briefly_is_served(self) -> None:
         for where in ("queue", "established"):
             self.connect(where)
-            self.send_without_a_step()
+            self.send_without_step()
             self.now += 0.05
             self.play("s1 expect GET /api/k1\ns1 send 200 value\nc1 expect 200")
--- a/tests/test_limit_estimator.py
+++ b/tests/test_limit_estimator.py
@@ -1,4 +1,4 @@
-"""The estimate of how many connections clients may hold, and of how fast they open them."""
+"""Tests of the estimated connection limit of clients and of their opening rate."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def stopped_clients(
     held: int = 50, inactive: int = 40, rate: float = 200.0, last_opened_at: float = 0.0
 ) -> ClientActivity:
-    """The activity of clients that seem to have stopped opening connections."""
+    """Return the activity of clients that appear to have stopped opening connections."""
     return ClientActivity(held, inactive, rate, last_opened_at)
 
 
@@ -25,23 +25,25 @@
     assert not estimator.start_probe(10_000.0, stopped_clients(held=40))
 
 
-def test_limit_rises_where_more_connections_are_held() -> None:
+def test_limit_rises_if_more_connections_are_held() -> None:
     estimator = ConnectionLimitEstimator(384)
     assert estimator.limit == 128
     estimator.record_held(140)
     assert estimator.limit > 140 * 1.2
 
 
-def test_stop_is_probed_and_confirmed_or_taken_for_a_lull() -> None:
+def test_probe_after_a_stop_is_confirmed_only_by_enough_openings() -> None:
     estimator = ConnectionLimitEstimator(384)
-    assert not estimator.start_probe(100.0, stopped_clients())  # so soon it may be chance
-    assert not estimator.start_probe(400.0, stopped_clients(inactive=0))  # nothing that could be closed
+    assert not estimator.start_probe(100.0, stopped_clients())  # too early: the gap may be random
+    assert not estimator.start_probe(400.0, stopped_clients(inactive=0))  # no connection to close
     assert not estimator.start_probe(400.0, stopped_clients(rate=5.0))  # too few openings before
-    assert not estimator.start_probe(400.0, stopped_clients(held=7))  # too few connections to be a limit
+    assert not estimator.start_probe(400.0, stopped_clients(held=7))  # fewer than the minimum limit
     assert estimator.start_probe(400.0, stopped_clients()) == 5
     for _ in range(3):
-        estimator.record_opening(450.0, 50)  # fewer than were closed ...
-    estimator.advance_time(900.0)  # ... so it was a lull: the next probe is a second later
+        estimator.record_opening(
+            450.0, 50
+        )  # fewer openings than the five closes, so the probe is not confirmed
+    estimator.advance_time(900.0)  # the next probe starts a second later
     assert not estimator.start_probe(1_000.0, stopped_clients())
     assert estimator.start_probe(2_100.0, stopped_clients()) == 5
     for _ in range(4):
@@ -49,13 +51,13 @@
     assert (estimator.limit, estimator.is_learned) == (50, True)
     estimator.advance_time(12_000.0)
     assert estimator.is_learned
-    estimator.advance_time(12_200.0)  # after ten seconds the estimate expires: it may have been chance
+    estimator.advance_time(12_200.0)  # the estimate expires after ten seconds
     assert (estimator.limit, estimator.is_learned) == (128, False)
     estimator.reconfigure(200, None)
     assert estimator.limit == 66
 
 
-def test_probe_closes_no_more_than_the_inactive_connections() -> None:
+def test_probe_closes_only_inactive_connections() -> None:
     estimator = ConnectionLimitEstimator(384)
     assert estimator.start_probe(400.0, stopped_clients(inactive=1)) == 1
     simulation = ListenerSimulation(client_limit=1_000)
@@ -73,13 +75,13 @@
         simulation.table.record_response(record, 200)
         simulation.table.mark_idle(record, simulation.now)
     simulation.pass_time(10.0)
-    assert inactive_counts[-1] == 0  # all are idle, but not for long enough
+    assert inactive_counts[-1] == 0  # all are idle, but for less than the minimum age
     simulation.pass_time(3_000.0)
     assert inactive_counts[-1] == 20
 
 
 def test_rejected_connections_do_not_change_the_opening_rate_of_the_others() -> None:
-    """Ten connections are opened for requests in each interval; beside them fifty are rejected, or none."""
+    """In each interval ten connections are opened for requests, and none or fifty others are rejected."""
     rates = []
     for rejected_count in (0, 50):
         simulation = ListenerSimulation(client_limit=1_000)
@@ -97,19 +99,25 @@
 @pytest.mark.parametrize(
     ("held_counts", "inactive", "is_probed"),
     [
-        ([40, 39, 40, 40] * 10, 30, True),  # openings go on, but what is held stays the same
-        ([40, 39, 40, 40] * 10, 10, False),  # few of these are inactive
-        ([30 + n % 12 for n in range(40)], 30, False),  # what is held changes
+        (
+            [40, 39, 40, 40] * 10,
+            30,
+            True,
+        ),  # openings continue, but the number of held connections is constant
+        ([40, 39, 40, 40] * 10, 10, False),  # few of them are inactive
+        ([30 + n % 12 for n in range(40)], 30, False),  # the number of held connections changes
         ([40] * 9, 30, False),  # too few openings
     ],
 )
-def test_plateau_is_probed_too(held_counts: list[int], inactive: int, is_probed: bool) -> None:
+def test_probe_starts_on_a_plateau_of_mostly_inactive_connections(
+    held_counts: list[int], inactive: int, is_probed: bool
+) -> None:
     estimator = ConnectionLimitEstimator(384)
     for held_count in held_counts:
         estimator.record_opening(400.0, held_count)
     assert bool(estimator.start_probe(600.0, stopped_clients(40, inactive, 100.0, 590.0))) == is_probed
     if is_probed:
-        for _ in range(40):  # thirty would be usual
+        for _ in range(40):  # thirty openings are usual in this time
             estimator.record_opening(700.0, 40)
         assert not estimator.is_learned
         for _ in range(2):
--- a/tests/test_list_slices.py
+++ b/tests/test_list_slices.py
@@ -1,4 +1,4 @@
-"""A long change of the endpoint list is handed on in slices, what leaves first."""
+"""Tests of slices: a long change of the endpoint list is split, draining and leaving endpoints first."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SlicesUnderTest:
-    """Slices on a loop whose clock the test moves."""
+    """Slices on an event loop with a simulated clock."""
 
     def __init__(self) -> None:
         self.now_s = 50.0
@@ -23,23 +23,23 @@
         self.slices = EndpointListSlices(self.loop, lambda *applied: self.applied.append(applied))
 
     def turn(self) -> None:
-        """Let some time pass, and the loop do what is due."""
+        """Advance the clock by 10 ms, and run the loop once."""
         self.now_s += 0.01
         self.loop.step(0)
 
 
 def change_of(rows: list[Endpoint], scope: UpdateScope = UpdateScope.DELTA) -> DirectoryUpdate:
-    """Return a change with these rows, of which those that are not ready are retired."""
+    """Return a change with these rows; rows that are not ready are retired."""
     retired = tuple(row.endpoint_id for row in rows if row.status is not Status.READY)
     return DirectoryUpdate(EndpointUpdate(scope, tuple(rows), 7), retired, ())
 
 
 def mixed_rows(count: int) -> list[Endpoint]:
-    """Return rows of which every other one drains."""
+    """Return rows, every second one draining."""
     return [Endpoint(n, Status.READY if n % 2 else Status.DRAINING) for n in range(1, count + 1)]
 
 
-def test_what_leaves_comes_first_and_nothing_twice() -> None:
+def test_draining_endpoints_come_first_and_each_endpoint_once() -> None:
     test = SlicesUnderTest()
     rows = mixed_rows(4 * SLICE_ROWS)
     test.slices.apply(change_of(rows))
@@ -58,7 +58,7 @@
     ]
 
 
-def test_a_further_list_comes_after_all_of_the_one_before() -> None:
+def test_later_change_is_applied_after_all_slices_of_the_earlier_one() -> None:
     test = SlicesUnderTest()
     test.slices.apply(change_of([Endpoint(n) for n in range(1, 3 * SLICE_ROWS)]))
     test.slices.apply(change_of([Endpoint(5, Status.REMOVED)]))
@@ -68,7 +68,7 @@
     assert len(test.applied) == 4
 
 
-def test_an_endpoint_that_is_named_twice_has_its_last_state() -> None:
+def test_duplicate_endpoint_has_its_last_state() -> None:
     test = SlicesUnderTest()
     rows = [*(Endpoint(n) for n in range(1, 2 * SLICE_ROWS)), Endpoint(3, Status.DRAINING)]
     test.slices.apply(change_of(rows))
@@ -77,13 +77,13 @@
     assert seen == [Status.DRAINING]
 
 
-def test_a_full_list_is_applied_as_a_whole() -> None:
+def test_full_list_is_not_split() -> None:
     test = SlicesUnderTest()
     test.slices.apply(change_of(mixed_rows(4 * SLICE_ROWS), UpdateScope.FULL))
     assert len(test.applied) == 1
 
 
-def test_slices_warm_up_what_they_bring_as_one_list_does() -> None:
+def test_warmup_of_new_endpoints_does_not_depend_on_slices() -> None:
     rows = [api.Endpoint(2_000 + n, started_at=500.0) for n in range(2)]
     warmups = []
     for parts in ([rows], [rows[:1], rows[1:]]):
--- a/tests/test_loop_load.py
+++ b/tests/test_loop_load.py
@@ -1,4 +1,4 @@
-"""How late the event loop is, and since when what it reads can have waited."""
+"""Tests of loop load and of the bounds for how long received data and connections have waited."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FakeClock:
-    """A clock in seconds that the test moves."""
+    """A simulated clock in seconds."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -21,13 +21,13 @@
         return self.now_s
 
 
-def test_what_came_during_a_long_callback_is_not_taken_for_new() -> None:
+def test_data_received_during_a_long_callback_has_a_lower_bound_before_it() -> None:
     clock = FakeClock()
     loop = EventLoop(clock)
     seen: list[float] = []
     (busy, busy_peer), (late, late_peer) = socket.socketpair(), socket.socketpair()
 
-    def hold_up(_events: int) -> None:
+    def block_loop(_events: int) -> None:
         busy.recv(1)
         late_peer.send(b"x")
         clock.now_s += 0.7
@@ -36,7 +36,7 @@
         late.recv(1)
         seen.append(loop.now() - loop.events_since)
 
-    loop.register(busy, READ, hold_up)
+    loop.register(busy, READ, block_loop)
     loop.register(late, READ, read_late)
     busy_peer.send(b"x")
     loop.step(0.0)
@@ -47,7 +47,7 @@
     loop.close()
 
 
-def test_a_long_turn_is_logged_with_its_longest_call(
+def test_long_turn_is_logged_with_its_longest_call(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = FakeClock()
@@ -67,11 +67,12 @@
     loop.close()
 
 
-def test_connections_behind_a_queue_came_after_it_was_counted() -> None:
+def test_connections_behind_counted_ones_arrived_after_the_count() -> None:
     age = AcceptQueueAge(0.0)
     age.begin_batch(1_000.0, 990.0, QueueLength(2, 128))
     assert [age.record_accept(), age.record_accept()] == [990.0, 990.0]
-    # the batch ended before the queue was empty; three more had come until 1,500, after the first two
+    # The batch ended before the queue was empty. At 1,500 three connections were queued; they arrived after
+    # 1,000.
     age.begin_batch(1_500.0, 1_400.0, QueueLength(3, 128))
     assert [age.record_accept() for _ in range(3)] == [1_000.0] * 3
     age.begin_batch(1_800.0, 1_700.0, QueueLength(1, 128))
