--- a/tests/certificates.py
+++ b/tests/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for the tests, made as they are needed; none is kept."""
+"""Certificates for tests, created on demand."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 
 
 @dataclass(frozen=True)
-class Pair:
-    """A certificate and its key."""
+class CertificatePair:
+    """Files of a certificate and its private key."""
 
     cert: Path
     key: Path
 
     def serial(self) -> str:
-        """Its serial number, in hexadecimal."""
+        """Return the serial number of the certificate in hexadecimal."""
         return serial_of(self.cert.read_bytes())
 
-    def private(self) -> ec.EllipticCurvePrivateKey:
-        """Its key."""
+    def load_key(self) -> ec.EllipticCurvePrivateKey:
+        """Return the private key."""
         key = serialization.load_pem_private_key(self.key.read_bytes(), None)
         assert isinstance(key, ec.EllipticCurvePrivateKey)
         return key
 
-    def encrypted(self, password: bytes) -> bytes:
-        """Its key with a password."""
-        return _pem(self.private(), serialization.BestAvailableEncryption(password))
+    def encrypted_key(self, password: bytes) -> bytes:
+        """Return the private key as PEM, encrypted with a password."""
+        return _pem(self.load_key(), serialization.BestAvailableEncryption(password))
 
 
 def serial_of(data: bytes) -> str:
-    """The serial number of a certificate in PEM or DER, in hexadecimal, of whole bytes."""
+    """Return the serial number of a PEM or DER certificate in hexadecimal, with an even number of digits."""
     pem = data.startswith(b"-----")
-    found = x509.load_pem_x509_certificate(data) if pem else x509.load_der_x509_certificate(data)
-    text = f"{found.serial_number:X}"
+    certificate = x509.load_pem_x509_certificate(data) if pem else x509.load_der_x509_certificate(data)
+    text = f"{certificate.serial_number:X}"
     return text.zfill(len(text) + len(text) % 2)
 
 
-def _pem(key: ec.EllipticCurvePrivateKey, cover: serialization.KeySerializationEncryption) -> bytes:
-    return key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, cover)
+def _pem(key: ec.EllipticCurvePrivateKey, encryption: serialization.KeySerializationEncryption) -> bytes:
+    return key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, encryption)
 
 
 def _name(subject: str) -> x509.Name:
-    """A name such as /O=acme/CN=gw; parts joined by + are of one level."""
+    """Return a name such as /O=acme/CN=gw; attributes joined by + form one level."""
     kinds = {"CN": NameOID.COMMON_NAME, "O": NameOID.ORGANIZATION_NAME}
     return x509.Name(
         [
@@ -62,28 +62,32 @@
     )
 
 
-def make(
-    folder: Path, name: str, subject: str = "/CN=localhost", signer: Pair | None = None, serial: int = 1
-) -> Pair:
-    """A pair by that name; signed by itself, or by another."""
-    pair = Pair(folder / f"{name}.pem", folder / f"{name}.key")
+def create_pair(
+    folder: Path,
+    name: str,
+    subject: str = "/CN=localhost",
+    signer: CertificatePair | None = None,
+    serial: int = 1,
+) -> CertificatePair:
+    """Create a certificate and key with this file name; self-signed unless there is a `signer`."""
+    pair = CertificatePair(folder / f"{name}.pem", folder / f"{name}.key")
     key = ec.generate_private_key(ec.SECP256R1())
     pair.key.write_bytes(_pem(key, serialization.NoEncryption()))
-    begin = datetime.datetime.now(datetime.UTC)
-    issuer, signs = _name(subject), key
+    now = datetime.datetime.now(datetime.UTC)
+    issuer, signing_key = _name(subject), key
     if signer is not None:
         issuer = x509.load_pem_x509_certificate(signer.cert.read_bytes()).subject
-        signs = signer.private()
-    made = (
+        signing_key = signer.load_key()
+    certificate = (
         x509.CertificateBuilder()
         .subject_name(_name(subject))
         .issuer_name(issuer)
         .public_key(key.public_key())
         .serial_number(serial)
-        .not_valid_before(begin - DAY)
-        .not_valid_after(begin + DAY)
+        .not_valid_before(now - DAY)
+        .not_valid_after(now + DAY)
         .add_extension(x509.BasicConstraints(ca=signer is None, path_length=None), critical=True)
-        .sign(signs, hashes.SHA256())
+        .sign(signing_key, hashes.SHA256())
     )
-    pair.cert.write_bytes(made.public_bytes(serialization.Encoding.PEM))
+    pair.cert.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
     return pair
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -1,15 +1,15 @@
-"""Clients that send malformed requests, too much, or nothing at all."""
+"""Clients that send malformed requests, too many requests or no request."""
 
 from __future__ import annotations
 
 from .scenario import Scenario
 
 HEAD = r"Req-Id: 7\r\nReq-Kind: read\r\nReq-Owner: beta\r\nReq-Deadline: 1\r\n"
-ONE = rf"GET /api/k1 HTTP/1.1\r\n{HEAD}\r\n"
+REQUEST = rf"GET /api/k1 HTTP/1.1\r\n{HEAD}\r\n"
 
 
-class Framing(Scenario):
-    def rejects(self, head: str, body: str = "") -> None:
+class FramingScenario(Scenario):
+    def assert_rejected(self, head: str, body: str = "") -> None:
         self.play(rf"""
             c1 raw PUT /api/k1 HTTP/1.1\r\n{HEAD}{head}\r\n\r\n{body}
             c1 expect 400 Connection=close
@@ -20,26 +20,26 @@
         """)
         self.assertEqual(self.server.engine.counts["requests"], 0)
 
-    def test_lengths_that_hide_another_request(self) -> None:
-        hidden = rf"0\r\n\r\n{ONE}"
-        self.rejects(r"Content-Length: 120\r\nTransfer-Encoding: chunked", hidden)
-        self.rejects(r"Transfer-Encoding: chunked\r\nContent-Length: 120", hidden)
+    def test_conflicting_lengths_do_not_smuggle_a_request(self) -> None:
+        hidden = rf"0\r\n\r\n{REQUEST}"
+        self.assert_rejected(r"Content-Length: 120\r\nTransfer-Encoding: chunked", hidden)
+        self.assert_rejected(r"Transfer-Encoding: chunked\r\nContent-Length: 120", hidden)
 
-    def test_lengths_that_are_no_one_number(self) -> None:
+    def test_invalid_content_length_is_rejected(self) -> None:
         for length in ("-1", "+4", "ten", "4, 4", r"4\r\nContent-Length: 5", "9" * 30):
-            self.rejects(f"Content-Length: {length}", "abcd")
+            self.assert_rejected(f"Content-Length: {length}", "abcd")
 
-    def test_headers_that_come_twice(self) -> None:
+    def test_duplicate_headers_are_rejected(self) -> None:
         for repeated in ("req-id: 8", "Req-Kind: read", "Req-Owner: acme", "Req-Deadline: 2"):
-            self.rejects(repeated)
+            self.assert_rejected(repeated)
 
-    def test_identity_that_is_no_plain_text(self) -> None:
+    def test_invalid_request_id_is_rejected(self) -> None:
         self.play(f"c1 send GET /api/k1 Req-Id={'x' * 129}\nc1 expect 400")
         self.play("c2 send GET /api/k1 Req-Id=a\tb\nc2 expect 400")
 
 
-class Identity(Scenario):
-    def test_of_an_open_request_is_an_error_and_the_first_goes_on(self) -> None:
+class RequestIdScenario(Scenario):
+    def test_id_of_an_open_request_is_rejected_and_the_first_request_continues(self) -> None:
         self.play("""
             c1 send GET /api/k1 Req-Id=77
             s1 expect GET /api/k1
@@ -50,7 +50,7 @@
             c1 expect 200 value
         """)
 
-    def test_is_free_again_after_the_response_or_a_close(self) -> None:
+    def test_id_is_released_after_the_response_or_a_disconnect(self) -> None:
         read = """
             c1 send GET /api/k1 Req-Id=77
             s1 expect GET /api/k1
@@ -59,8 +59,8 @@
         self.assertEqual(self.server.listener.open_request_ids, set())
 
 
-class Time(Scenario):
-    def test_a_trickle_is_due_an_error_within_three_seconds_of_connecting(self) -> None:
+class TimeoutScenario(Scenario):
+    def test_slow_request_head_gets_408_within_three_seconds_of_connecting(self) -> None:
         self.play(r"""
             c1 raw GET /api/k1 HTTP/1.1\r\n
             wait 1000
@@ -71,7 +71,7 @@
             c1 expect 408 Connection=close
         """)
 
-    def test_half_a_request_after_some_silence_counts_from_connecting(self) -> None:
+    def test_timeout_of_a_partial_request_counts_from_connecting(self) -> None:
         self.connect("c1")
         self.play(r"""
             wait 1500
@@ -80,11 +80,11 @@
             c1 expect 408
         """)
 
-    def test_a_silent_connection_closes_in_time(self) -> None:
+    def test_connection_without_a_request_is_closed_in_time(self) -> None:
         self.connect("c1")
         self.play("wait 2900\nc1 expect closed")
 
-    def test_one_between_requests_may_stay_a_while_but_not_for_ever(self) -> None:
+    def test_idle_connection_is_closed_after_its_timeout_only(self) -> None:
         self.play("""
             c1 send GET /ready
             c1 expect 200
@@ -97,15 +97,15 @@
         listener = self.server.listener
         self.assertFalse(listener.connections or len(listener.connection_table))
 
-    def connect(self, who: str) -> None:
-        self.wire(who)
+    def connect(self, client: str) -> None:
+        self.wire(client)
         self.step()
 
 
-class ConnectionPressure(Scenario):
-    sockets = 128  # 80 for connections, 40 of them clients'
+class ConnectionPressureScenario(Scenario):
+    sockets = 128  # 80 for connections, of which clients may hold 40
 
-    def test_silent_clients_leave_upstreams_and_ordinary_clients_their_connections(self) -> None:
+    def test_silent_clients_do_not_evict_connections_of_upstreams_and_other_clients(self) -> None:
         self.play("""
             c1 send GET /api/k1
             s1 expect GET /api/k1
@@ -122,13 +122,13 @@
         """)
         self.assertEqual([len(self.wires[name]) for name in ("c1", "s1")], [1, 1])
 
-    def test_accepting_resumes_soon_after_a_burst_took_all_slots_at_once(self) -> None:
+    def test_accepting_resumes_soon_after_a_burst_fills_all_slots(self) -> None:
         for n in range(100, 160):
             self.wire(f"c{n}")
         self.play("wait 5")
         self.play("c1 send GET /ready\nc1 expect nothing\nwait 300\nc1 expect 200 ready")
 
-    def test_hundreds_of_pipelined_bad_requests_cost_one_response(self) -> None:
-        self.play("c1 raw " + ONE.replace("read", "none") * 100)
+    def test_pipelined_invalid_requests_get_one_response(self) -> None:
+        self.play("c1 raw " + REQUEST.replace("read", "none") * 100)
         self.play("c1 expect 400 Connection=close\nwait 600\nc1 expect closed")
         self.assertEqual(self.server.listener.rejected_count, 1)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration while the router serves."""
+"""Reload of the configuration while the router serves."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .scenario import Scenario
 
 
-class Reload(Scenario):
+class ReloadScenario(Scenario):
     nodes = ("s1", "s2", "origin")
     discoveries = ("d", "e")
 
@@ -19,13 +19,13 @@
         self.scopes: list[UpdateScope] = []
         engine = self.server.engine
         patch = mock.patch.object(
-            engine, "update_endpoints", side_effect=self.recorded(engine.update_endpoints)
+            engine, "update_endpoints", side_effect=self.record_scopes(engine.update_endpoints)
         )
         patch.start()
         self.addCleanup(patch.stop)
 
-    def recorded(self, update: Callable[[EndpointUpdate], None]) -> Callable[[EndpointUpdate], None]:
-        """Record the scopes of the updates that the engine gets."""
+    def record_scopes(self, update: Callable[[EndpointUpdate], None]) -> Callable[[EndpointUpdate], None]:
+        """Return `update` wrapped so that it records the scope of each update."""
 
         def record(event: EndpointUpdate) -> None:
             self.scopes.append(event.scope)
@@ -33,12 +33,12 @@
 
         return record
 
-    def moves(self, to: str = "e") -> None:
-        """Name another discovery in the file, and reload."""
+    def switch_discovery(self, to: str = "e") -> None:
+        """Set another discovery service in the configuration, and reload."""
         self.file["discovery"] = f"127.0.0.1:{self.port(to)}"
         self.play("router reload")
 
-    def following(self) -> None:
+    def start_long_poll(self) -> None:
         self.play("""
             wait 800
             d expect GET /v1/endpoints?after=41&wait_ms=0
@@ -46,9 +46,9 @@
             d expect GET /v1/endpoints?after=41&wait_ms=2500
         """)
 
-    def test_the_new_discovery_is_followed_at_once_from_its_full_list(self) -> None:
-        self.following()
-        self.moves()
+    def test_new_discovery_service_is_watched_at_once_from_its_full_list(self) -> None:
+        self.start_long_poll()
+        self.switch_discovery()
         self.play("""
             d expect closed
             e expect GET /v1/endpoints HTTP/1.1
@@ -63,12 +63,12 @@
         """)
         self.assertEqual(self.scopes, [UpdateScope.DELTA, UpdateScope.FULL, UpdateScope.DELTA])
 
-    def test_the_held_list_and_pending_requests_stay(self) -> None:
-        self.following()
+    def test_held_list_and_pending_requests_are_kept(self) -> None:
+        self.start_long_poll()
         self.play("""
             c1 send GET /api/k1
         """)
-        self.moves()
+        self.switch_discovery()
         (node,) = (name for name in ("s1", "s2") if any(w.seen for w in self.wires[name]))
         self.play(f"""
             {node} expect GET /api/k1
@@ -78,10 +78,10 @@
         self.assertEqual(len(self.server.endpoint_directory.endpoints), 3)
         self.assertNotIn(UpdateScope.FAILED, self.scopes)
 
-    def test_a_reload_before_the_first_poll_and_another_at_once(self) -> None:
-        self.moves()
-        self.moves("d")
-        self.moves()
+    def test_three_reloads_in_a_row_before_the_first_poll(self) -> None:
+        self.switch_discovery()
+        self.switch_discovery("d")
+        self.switch_discovery()
         self.play("""
             e expect GET /v1/endpoints HTTP/1.1
             e list 7 s1=active s2=active origin=active
@@ -91,15 +91,15 @@
         """)
         self.assertTrue(self.module().endpoints.calls.is_subscribed)
 
-    def test_a_new_discovery_that_refuses_has_failed_and_is_polled_again(self) -> None:
-        self.following()
+    def test_refused_connect_to_the_new_discovery_service_is_reported_as_failure(self) -> None:
+        self.start_long_poll()
         self.play("e refuse")
         self.file["discovery"] = "127.0.0.1:1"
         self.play("router reload\nwait 20")
         self.assertEqual(self.scopes[1:], [UpdateScope.FAILED])
 
-    def test_the_same_discovery_is_followed_on(self) -> None:
-        self.following()
+    def test_watch_continues_if_the_discovery_service_is_unchanged(self) -> None:
+        self.start_long_poll()
         self.play("""
             router reload
             d tell 42 s1=leaving
@@ -107,8 +107,8 @@
         """)
         self.assertEqual(len(self.wires["d"]), 1)
 
-    def test_a_bad_file_changes_nothing_and_is_logged_in_one_line(self) -> None:
-        self.following()
+    def test_invalid_file_changes_nothing_and_is_logged_in_one_line(self) -> None:
+        self.start_long_poll()
         for broken in ({"settings": 1}, {"listen": "here"}, {"known": {"targets": [{"uid": "x"}]}}):
             valid = self.file
             self.file = {**valid, "discovery": "127.0.0.1:1", **broken}
@@ -121,7 +121,7 @@
             d expect GET /v1/endpoints?after=42&wait_ms=2500
         """)
 
-    def test_what_needs_a_restart_is_named_and_descriptors_are_applied(self) -> None:
+    def test_settings_that_need_a_restart_are_logged_and_descriptor_limit_is_applied(self) -> None:
         self.file["limits"] = {**self.file["limits"], "sockets": 300}
         self.file["listen"] = "127.0.0.1:2"
         with self.assertLogs("rosepick", "INFO") as logs:
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -1,4 +1,4 @@
-"""Connection pressure on loopback: capacity for the next client, whoever holds connections, and for what."""
+"""Connection pressure on loopback: new clients find capacity, whatever the other clients do."""
 
 from __future__ import annotations
 
@@ -21,37 +21,37 @@
 
 
 class PressureScenario(Scenario):
-    """A router with 80 descriptors for connections, of which clients may hold 40."""
+    """A router with 80 descriptors for connections; client connections may use 40."""
 
     sockets = 128
 
     def operators(self) -> OperatorOptions:
         return OperatorOptions(operator_file.read(b"clients_hold 40", "rosepick.conf"))
 
-    def ask(self, who: str, what: str = READY, source: str = "127.0.0.1") -> None:
-        """Send a request of a new client on a connection of its own."""
+    def request_from_new_client(self, client: str, request: str = READY, source: str = "127.0.0.1") -> None:
+        """Send a request on the first connection of a new client, from a source address."""
         sock = socket.create_connection(self.server.listener.sock.getsockname(), source_address=(source, 0))
-        self.wires[who] = [ScenarioConnection(sock)]
-        self.play(f"{who} send {what}")
+        self.wires[client] = [ScenarioConnection(sock)]
+        self.play(f"{client} send {request}")
 
-    def answered(self, who: str) -> bool:
-        """Whether a client has its response; upon `Connection: close`, or the end, it closes."""
-        wire = self.wires[who][0]
+    def is_answered(self, client: str) -> bool:
+        """Return whether a client has its response; after a close by the router, its socket is closed."""
+        wire = self.wires[client][0]
         message = wire.message()
         if (message is not None and "Connection: close" in message) or wire.ended:
             wire.sock.close()
-            self.wires[who].remove(wire)
+            self.wires[client].remove(wire)
         return message is not None
 
-    def keep_in_hand(self) -> None:
-        """Leave requests unanswered from here on."""
+    def leave_requests_pending(self) -> None:
+        """Leave all further requests unanswered."""
         for name in ("accept", "handle_disconnect"):
             patch = mock.patch.object(self.server.engine, name)
             patch.start()
             self.addCleanup(patch.stop)
 
     def connection_count(self) -> int:
-        """How many connections clients hold."""
+        """Return how many connections the clients named h... hold."""
         self.step()
         for name, wires in self.wires.items():
             for wire in wires[:]:
@@ -61,23 +61,23 @@
         return sum(len(wires) for name, wires in self.wires.items() if name.startswith("h"))
 
     def fill(self, count: int, every: float = 10.0) -> int:
-        """Connect clients that each send one request and stay; return how many were answered."""
+        """Connect clients that each send one request and stay connected; return how many were answered."""
         answered_count = 0
         for n in range(count):
             if self.connection_count() < 40:
-                self.ask(f"h{n}")
-                answered_count += self.answered(f"h{n}")
+                self.request_from_new_client(f"h{n}")
+                answered_count += self.is_answered(f"h{n}")
             self.play(f"wait {every}")
         return answered_count
 
     def fields(self, logs: Any, event: str) -> dict[str, Any]:
-        """The fields of the last log line of that event."""
+        """Return the fields of the last log line of an event."""
         matching = [vars(record)["fields"] for record in logs.records if record.getMessage() == event]
         self.assertTrue(matching, event)
         return dict(matching[-1])
 
 
-class IdleClients(PressureScenario):
+class IdleClientsScenario(PressureScenario):
     def test_idle_clients_after_one_request_are_evicted(self) -> None:
         with self.assertLogs("rosepick", "INFO") as logs:
             self.assertEqual(self.fill(200), 200)
@@ -96,8 +96,8 @@
             + sum(fields[kind] for kind in ("unused", "active", "used_once", "reused", "lingering")),
         )
 
-    def test_exactly_as_many_as_the_limit_all_idle(self) -> None:
-        """There are no further events: a timer must act."""
+    def test_slots_are_freed_while_exactly_the_limit_of_connections_is_idle(self) -> None:
+        """No further events occur, so a timer must evict connections."""
         with mock.patch.object(
             self.server.listener.policy, "should_close_after_response", return_value=False
         ):
@@ -105,25 +105,25 @@
         self.assertEqual(self.connection_count(), 40)
         self.play("wait 700")
         self.assertLess(self.connection_count(), 40)
-        self.ask("n1")
-        self.assertTrue(self.answered("n1"))
+        self.request_from_new_client("n1")
+        self.assertTrue(self.is_answered("n1"))
 
-    def test_one_with_unread_bytes_is_not_closed_and_is_answered(self) -> None:
-        """An eviction must not cross a request that was received already."""
+    def test_connection_with_unread_bytes_is_not_evicted_and_is_answered(self) -> None:
+        """An eviction must not close a connection with a request that was already received."""
         with mock.patch.object(
             self.server.listener.policy, "should_close_after_response", return_value=False
         ):
             self.fill(40, every=1.0)
-        self.now += 0.15  # they have stood for a while; nothing ran meanwhile
+        self.now += 0.15  # the connections have reached the minimum age, and no review ran since
         for wires in self.wires.values():
             for wire in wires:
                 wire.sock.send(b"GET /ready HTTP/1.1\r\nReq-Id: x\r\n\r\n")
         self.server.listener._evict_connections()
         self.assertEqual(self.server.listener.connection_table.closed_by_reason[CloseReason.CAPACITY], 0)
         self.step()
-        self.assertEqual(sum(self.answered(name) for name in self.wires if name.startswith("h")), 40)
+        self.assertEqual(sum(self.is_answered(name) for name in self.wires if name.startswith("h")), 40)
 
-    def test_a_request_that_crosses_a_close_is_answered_once_on_a_new_connection(self) -> None:
+    def test_request_sent_during_a_close_is_answered_once_on_a_new_connection(self) -> None:
         self.play("""
             c1 send GET /ready
             c1 expect 200
@@ -142,7 +142,7 @@
         """)
         self.assertEqual(self.server.engine.counts["attempts"], 1)
 
-    def test_a_large_last_response_is_read_slowly_and_completely(self) -> None:
+    def test_large_last_response_reaches_a_slow_reader_completely(self) -> None:
         self.fill(100)
         size = 1024 * 1024
         wire = ScenarioConnection(socket.socket())
@@ -151,7 +151,7 @@
         wire.sock.connect(self.server.listener.sock.getsockname())
         wire.sock.setblocking(False)
         self.wires["c1"] = [wire]
-        with mock.patch.object(wire, "pull"):  # it reads nothing yet
+        with mock.patch.object(wire, "pull"):  # the client does not read yet
             self.play("c1 send GET /api/big Req-Deadline=4.000\ns1 expect GET /api/big")
             connection = list(self.server.listener.connections)[-1]
             connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
@@ -170,25 +170,25 @@
         self.assertEqual(len(body), size)
 
 
-class Silent(PressureScenario):
-    def test_hundreds_of_silent_clients_beside_one_that_reconnects_for_each_request(self) -> None:
+class SilentClientsScenario(PressureScenario):
+    def test_silent_clients_do_not_block_one_that_reconnects_for_each_request(self) -> None:
         for n in range(150):
             self.wire(f"x{n}")
             self.play("wait 10")
             if n % 3 == 0:
-                self.ask(f"c{n}")
+                self.request_from_new_client(f"c{n}")
                 self.play("wait 20" if self.wires[f"c{n}"] else "")
                 for _ in range(40):
-                    if self.answered(f"c{n}"):
+                    if self.is_answered(f"c{n}"):
                         break
                     self.play("wait 10")
                 else:
-                    self.fail(f"c{n} has no answer")
+                    self.fail(f"c{n} has no response")
                 for wire in self.wires[f"c{n}"]:
                     wire.sock.close()
                 self.wires[f"c{n}"].clear()
 
-    def test_a_pool_that_reopens_at_once_is_left_alone(self) -> None:
+    def test_evictions_back_off_for_a_pool_that_reopens_at_once(self) -> None:
         with mock.patch.object(
             self.server.listener.policy, "should_close_after_response", return_value=False
         ):
@@ -204,7 +204,7 @@
         self.assertLess(self.server.listener.connection_table.opened_total - opened, 40)
 
 
-class Addresses(PressureScenario):
+class AddressQuotaScenario(PressureScenario):
     sockets = 48 + 152
 
     def operators(self) -> OperatorOptions:
@@ -212,37 +212,37 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.keep_in_hand()
+        self.leave_requests_pending()
 
-    def test_many_clients_from_one_address_leave_others_their_capacity(self) -> None:
-        """All slots are taken by pending requests, so none can be evicted."""
+    def test_many_clients_from_one_address_do_not_use_the_capacity_of_others(self) -> None:
+        """Pending requests use all slots, so no connection can be evicted."""
         for n in range(38):
-            self.ask(f"h{n}", f"GET /api/k{n} Req-Deadline=9.000", "127.0.0.2")
+            self.request_from_new_client(f"h{n}", f"GET /api/k{n} Req-Deadline=9.000", "127.0.0.2")
         self.assertEqual(len(self.server.listener.connections), 38)
-        self.ask("c1", READY, "127.0.0.3")
+        self.request_from_new_client("c1", READY, "127.0.0.3")
         self.play("wait 60\nc1 expect 200")
-        self.ask("h99", READY, "127.0.0.2")
+        self.request_from_new_client("h99", READY, "127.0.0.2")
         self.play("wait 60\nh99 expect closed")
         self.assertEqual(self.server.listener.connection_table.closed_by_reason[CloseReason.ADDRESS_QUOTA], 1)
 
-    def test_a_single_address_may_use_the_whole_capacity(self) -> None:
+    def test_single_address_may_use_the_whole_capacity(self) -> None:
         for n in range(60):
-            self.ask(f"h{n}", f"GET /api/k{n} Req-Deadline=9.000")
+            self.request_from_new_client(f"h{n}", f"GET /api/k{n} Req-Deadline=9.000")
         self.play("wait 200")
         self.assertIn(len(self.server.listener.connections), range(38, 38 + 9))
         self.assertEqual(self.server.listener.connection_table.closed_by_reason, {})
 
 
-class AddressOverQuota(PressureScenario):
-    def test_an_address_over_quota_does_not_evict_idle_connections_of_others(self) -> None:
-        self.ask("c1", READY, "127.0.0.3")
+class AddressOverQuotaScenario(PressureScenario):
+    def test_address_over_quota_does_not_evict_idle_connections_of_others(self) -> None:
+        self.request_from_new_client("c1", READY, "127.0.0.3")
         self.play("c1 expect 200")
-        self.keep_in_hand()
+        self.leave_requests_pending()
         with mock.patch.object(self.server.listener, "_is_at_limit", return_value=False):
             for n in range(39):
-                self.ask(f"h{n}", f"GET /api/k{n} Req-Deadline=9.000", "127.0.0.2")
+                self.request_from_new_client(f"h{n}", f"GET /api/k{n} Req-Deadline=9.000", "127.0.0.2")
         for n in range(50, 56):
-            self.ask(f"h{n}", READY, "127.0.0.2")
+            self.request_from_new_client(f"h{n}", READY, "127.0.0.2")
             self.play("wait 60")
         self.assertGreaterEqual(
             self.server.listener.connection_table.closed_by_reason[CloseReason.ADDRESS_QUOTA], 5
@@ -250,47 +250,47 @@
         self.assertEqual(self.server.listener.connection_table.closed_by_reason[CloseReason.DESCRIPTORS], 0)
 
 
-class Budgets(PressureScenario):
+class DescriptorLimitScenario(PressureScenario):
     sockets = 400
 
     def operators(self) -> OperatorOptions:
         return OperatorOptions(operator_file.read(b"", "rosepick.conf"))
 
-    def test_descriptors_cut_under_load_and_given_back(self) -> None:
+    def test_lowered_and_raised_descriptor_limit_under_load(self) -> None:
         with mock.patch.object(
             self.server.listener.policy, "should_close_after_response", return_value=False
         ):
             for n in range(100):
-                self.ask(f"h{n}")
-                self.answered(f"h{n}")
+                self.request_from_new_client(f"h{n}")
+                self.is_answered(f"h{n}")
         self.play("c1 send GET /api/k1\ns1 expect GET /api/k1")
         self.file["limits"]["sockets"] = 100
         self.play("router reload")
-        self.assertGreater(len(self.server.listener.connections), 90)  # no storm of closes
-        self.play("wait 200\ns1 send 200 value\nc1 expect 200 value")  # the pending request has its response
+        self.assertGreater(len(self.server.listener.connections), 90)  # closes happen gradually
+        self.play("wait 200\ns1 send 200 value\nc1 expect 200 value")  # the pending request is answered
         self.play("wait 3000")
         self.assertEqual(self.server.budget.excess(), 0)
-        self.keep_in_hand()
+        self.leave_requests_pending()
         for n in range(60):
-            self.ask(f"n{n}", f"GET /api/n{n} Req-Deadline=20.000")
+            self.request_from_new_client(f"n{n}", f"GET /api/n{n} Req-Deadline=20.000")
         self.assertFalse(self.server.listener.is_accepting)
         count_before = len(self.server.listener.connections)
         self.file["limits"]["sockets"] = 400
         self.play("router reload")
         self.step()
-        self.assertGreater(len(self.server.listener.connections), count_before)  # at once
+        self.assertGreater(len(self.server.listener.connections), count_before)  # without a delay
 
-    def test_a_smaller_share_for_clients_applies_soon(self) -> None:
+    def test_smaller_descriptor_share_for_clients_applies_soon(self) -> None:
         with mock.patch.object(
             self.server.listener.policy, "should_close_after_response", return_value=False
         ):
             for n in range(150):
-                self.ask(f"h{n}")
-                self.answered(f"h{n}")
+                self.request_from_new_client(f"h{n}")
+                self.is_answered(f"h{n}")
         self.server.operator_settings.reload = lambda: operator_file.read(b"doors_part 10", "rosepick.conf")
         self.play("router reload")
         self.assertGreater(len(self.server.listener.connections), 140)
-        self.ask("c1")
+        self.request_from_new_client("c1")
         self.play("wait 2000\nc1 expect 200")
         self.assertLessEqual(len(self.server.listener.connections), 36)
 
@@ -302,7 +302,7 @@
             self.server.listener._evict_connections()
         self.assertEqual(freed.call_count, 3)
 
-    def test_settings_of_connections_apply_on_sighup(self) -> None:
+    def test_connection_settings_apply_on_sighup(self) -> None:
         lines = b"idle_timeout 1\nsilent_timeout 0.5\naccept_queue 7\nclients_hold 30"
         file = operator_file.read(lines, "rosepick.conf")
         self.server.operator_settings.reload = lambda: file
@@ -314,11 +314,11 @@
         self.assertEqual(accept_queue.queue_length(self.server.listener.sock), (0, 7))
 
 
-class Slow(PressureScenario):
+class SlowClientScenario(PressureScenario):
     def operators(self) -> OperatorOptions:
         return OperatorOptions(operator_file.read(b"silent_timeout 60", "rosepick.conf"))
 
-    def test_a_first_request_in_pieces_on_a_connection_that_was_opened_ahead(self) -> None:
+    def test_slow_first_request_on_a_connection_opened_early_is_answered(self) -> None:
         self.wire("c1")
         self.step()
         self.play(r"""
@@ -329,7 +329,7 @@
             c1 expect 200
         """)
 
-    def test_a_half_closed_connection_does_not_keep_the_loop_awake(self) -> None:
+    def test_half_closed_connection_does_not_wake_the_loop_continuously(self) -> None:
         wire = ScenarioConnection(socket.socket())
         wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
         wire.sock.setblocking(True)
@@ -371,31 +371,31 @@
         )
 
 
-class PartialRequests(PressureScenario):
-    """Many clients that begin requests and never finish them, and one that is slow but continues."""
+class PartialRequestScenario(PressureScenario):
+    """Many clients start requests and never complete them; one is slow but makes progress."""
 
-    def test_they_are_evicted_where_slots_are_short_the_longest_silent_first(self) -> None:
+    def test_stalled_requests_are_evicted_while_slots_are_short_longest_stalled_first(self) -> None:
         partial_requests = [f"c{n} raw GET /re; wait 5; " for n in range(100, 139)]
-        slow, goes_on = r"c1 raw GET /ready HTTP/1.1\r\n; ", r"wait 100; c1 raw X: y\r\n; "
-        full, ends = "".join(partial_requests) + slow, r"c1 raw \r\n; "
-        half = "listener.connection_table.closed_by_reason Counter"
+        slow, continues = r"c1 raw GET /ready HTTP/1.1\r\n; ", r"wait 100; c1 raw X: y\r\n; "
+        full, completes = "".join(partial_requests) + slow, r"c1 raw \r\n; "
+        counts = "listener.connection_table.closed_by_reason Counter"
         self.each(
             {
-                "a true one gets in": f"{full}{goes_on * 8}c2 send GET /ready; wait 50; c2 expect 200; {ends}"
-                f"c1 expect 200; c100 expect closed; "
-                f"all holds {half}({{<CloseReason.STALLED_REQUEST: 'half'>: 1}})",
-                "SIGTERM ends in time": f"{full}{goes_on * 4}router end; {goes_on * 14}{ends}"
+                "a complete request is served": f"{full}{continues * 8}c2 send GET /ready; wait 50; "
+                f"c2 expect 200; {completes}c1 expect 200; c100 expect closed; "
+                f"all holds {counts}({{<CloseReason.STALLED_REQUEST: 'half'>: 1}})",
+                "SIGTERM ends in time": f"{full}{continues * 4}router end; {continues * 14}{completes}"
                 "c1 expect 503 Connection=close ending; c1 close; wait 1800; router ended",
-                "not while there is room": f"{''.join(partial_requests[:10])}wait 1500; c2 send GET /ready; "
-                "c2 expect 200; "
-                f"all holds {half}(); wait 1500; "
+                "no eviction with free slots": f"{''.join(partial_requests[:10])}wait 1500; "
+                "c2 send GET /ready; c2 expect 200; "
+                f"all holds {counts}(); wait 1500; "
                 "all holds listener.connection_table.partial_requests OrderedDict()",
             }
         )
 
 
-class Accepting(PressureScenario):
-    def test_a_burst_is_accepted_in_portions_between_which_timers_run(self) -> None:
+class AcceptScenario(PressureScenario):
+    def test_burst_is_accepted_in_batches_with_timers_in_between(self) -> None:
         self.server.listener.pause()
         waiting = [socket.create_connection(self.server.listener.sock.getsockname()) for _ in range(39)]
         self.assertEqual(accept_queue.queue_length(self.server.listener.sock), (39, 1024))
@@ -406,7 +406,7 @@
             )
         tick = iter(range(100_000))
 
-        def clock() -> float:  # each look at the clock takes a tenth of a millisecond
+        def clock() -> float:  # each read of the clock advances it by 0.1 ms
             return self.now + next(tick) / 10_000
 
         with mock.patch.object(self.loop, "_clock", clock):
@@ -418,7 +418,7 @@
         for sock in waiting:
             sock.close()
 
-    def test_the_accept_queue_is_watched(self) -> None:
+    def test_accept_queue_overflows_are_counted_and_logged_once(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "netstat"
             for text, count in (
@@ -440,9 +440,10 @@
         reported = [(line["host_overflows"], line["listener"], line["queue_limit"]) for line in fields]
         self.assertEqual(reported, [(2, "http", 1024)])
 
-    def test_a_closed_connection_leaves_no_cycle(self) -> None:
-        """Guards against closed connections that only a full collection frees: on a day with a new connection
-        for each request they are most of what grows.
+    def test_closed_connection_leaves_no_reference_cycle(self) -> None:
+        """A reference cycle would keep closed connections in memory until a full collection.
+
+        With a new connection for each request, these would account for most of the memory growth.
         """
         self.play("c1 send GET /ready\nc1 expect 200")
         (connection,) = self.server.listener.connections
@@ -457,7 +458,7 @@
             gc.enable()
 
 
-def test_nothing_in_the_package_does_input_or_output() -> None:
+def test_connections_package_imports_no_io_and_no_clock() -> None:
     folder = Path(operator_file.__file__).parent / "connections"
     for path in folder.glob("*.py"):
         text = path.read_text()
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS for clients: scenarios over it, reloaded certificates, client certificates."""
+"""TLS for clients: requests, stalled clients, handshakes, certificate reloads and client certificates."""
 
 from __future__ import annotations
 
@@ -22,87 +22,87 @@
 from rosepick.settings import operator_file
 from rosepick.settings.operator_file import OperatorOptions
 
-from .certificates import Pair, make, serial_of
+from .certificates import CertificatePair, create_pair, serial_of
 from .scenario import Scenario, ScenarioConnection
 
 MIB = 1024 * 1024
 
 
-class TlsSock:
-    """A client's socket that speaks TLS and is used as a plain one that does not block."""
+class TlsSocket:
+    """A client's TLS socket with the interface of a non-blocking plain socket."""
 
     def __init__(self, sock: socket.socket, context: ssl.SSLContext) -> None:
         sock.setblocking(False)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # or it waits for the system
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # otherwise the kernel delays small writes
         self.tls = context.wrap_socket(sock, do_handshake_on_connect=False)
-        self.up = False
-        self.refused = ""
+        self.is_handshake_complete = False
+        self.tls_error = ""
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.tls, name)
 
-    def _shake_hands(self) -> None:
-        if not self.up:
+    def _complete_handshake(self) -> None:
+        if not self.is_handshake_complete:
             self.tls.do_handshake()
-            self.up = True
+            self.is_handshake_complete = True
 
     def recv(self, size: int) -> bytes:
         try:
-            self._shake_hands()
+            self._complete_handshake()
             return self.tls.recv(size)
         except ssl.SSLWantReadError:
             raise BlockingIOError from None
         except ssl.SSLError as error:
-            self.refused = error.reason or str(error)
+            self.tls_error = error.reason or str(error)
             return b""
 
     def send(self, data: bytes) -> int:
         try:
-            self._shake_hands()
+            self._complete_handshake()
             return self.tls.send(data)
         except (ssl.SSLWantReadError, ssl.SSLWantWriteError):
             raise BlockingIOError from None
 
 
-class Encrypted(Scenario):
-    """A router with a TLS listener; c... use TLS, p... do not."""
+class TlsScenario(Scenario):
+    """A router with a TLS listener; clients named c... use TLS, and clients named p... do not."""
 
     conf = ""
     folder: Path
-    ca: Pair
-    first: Pair
-    second: Pair
-    good: Pair
-    foreign: Pair
+    ca: CertificatePair
+    first: CertificatePair
+    second: CertificatePair
+    trusted: CertificatePair
+    untrusted: CertificatePair
 
     @classmethod
     def setUpClass(cls) -> None:
         folder = tempfile.TemporaryDirectory()
         cls.addClassCleanup(folder.cleanup)
         cls.folder = Path(folder.name)
-        cls.ca = make(cls.folder, "ca", "/O=ca")
-        cls.first = make(cls.folder, "first", serial=0x1111)
-        cls.second = make(cls.folder, "second", serial=0x2222)
-        cls.good = make(cls.folder, "good", "/O=tokachi-power/CN=meter-gw-07", cls.ca)
-        cls.foreign = make(cls.folder, "foreign", "/O=tokachi-power/CN=meter-gw-07")
+        cls.ca = create_pair(cls.folder, "ca", "/O=ca")
+        cls.first = create_pair(cls.folder, "first", serial=0x1111)
+        cls.second = create_pair(cls.folder, "second", serial=0x2222)
+        cls.trusted = create_pair(cls.folder, "good", "/O=tokachi-power/CN=meter-gw-07", cls.ca)
+        cls.untrusted = create_pair(cls.folder, "foreign", "/O=tokachi-power/CN=meter-gw-07")
 
     def setUp(self) -> None:
-        self.context = self.client()
-        self.use(self.first)
+        self.context = self.client_context()
+        self.install(self.first)
         super().setUp()
         assert self.server.tls is not None
-        # handshakes take no time here, unless a test says otherwise: the clock is the scenario's
-        self.cpu = iter(lambda: 0.0, 1.0)
-        patch = mock.patch.object(self.server.tls.handshakes, "_cpu_clock", lambda: next(self.cpu))
+        # Handshakes use no CPU time unless a test replaces this clock.
+        self.cpu_clock = iter(lambda: 0.0, 1.0)
+        patch = mock.patch.object(self.server.tls.handshakes, "_cpu_clock", lambda: next(self.cpu_clock))
         patch.start()
         self.addCleanup(patch.stop)
 
-    def use(self, pair: Pair) -> None:
-        """Put a pair where the router reads it."""
+    def install(self, pair: CertificatePair) -> None:
+        """Copy a pair to the paths in the operator file."""
         shutil.copy(pair.cert, self.folder / "cert.pem")
         shutil.copy(pair.key, self.folder / "key.pem")
 
-    def stated(self) -> operator_file.OperatorFile:
+    def read_operator_file(self) -> operator_file.OperatorFile:
         return operator_file.read(
             f"tls_listen 0\ntls_cert {self.folder}/cert.pem\ntls_key {self.folder}/key.pem\n"
             f"{self.conf}\n".encode(),
@@ -110,9 +110,11 @@
         )
 
     def operators(self) -> OperatorOptions:
-        return OperatorOptions(self.stated(), lambda: operator_file.require_valid(self.stated()))
+        return OperatorOptions(
+            self.read_operator_file(), lambda: operator_file.require_valid(self.read_operator_file())
+        )
 
-    def client(self, pair: Pair | None = None) -> ssl.SSLContext:
+    def client_context(self, pair: CertificatePair | None = None) -> ssl.SSLContext:
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
         context.check_hostname, context.verify_mode = False, ssl.CERT_NONE
         if pair is not None:
@@ -122,7 +124,7 @@
     def wire(self, who: str) -> ScenarioConnection:
         if not self.wires.get(who) and who.startswith("c"):
             sock = socket.create_connection(self.address())
-            self.wires[who] = [ScenarioConnection(TlsSock(sock, self.context))]  # type: ignore[arg-type]
+            self.wires[who] = [ScenarioConnection(TlsSocket(sock, self.context))]  # type: ignore[arg-type]
         return super().wire(who)
 
     def address(self) -> tuple[str, int]:
@@ -130,24 +132,24 @@
         host, port = self.server.listener.listen_sockets[1].sock.getsockname()
         return host, port
 
-    def serial(self, who: str) -> str:
-        """The serial number of the certificate that a client was shown."""
-        shown = self.wire(who).sock.getpeercert(binary_form=True)  # type: ignore[attr-defined]
-        return serial_of(shown)
+    def serial_seen_by(self, client: str) -> str:
+        """Return the serial number of the certificate that a client received."""
+        certificate = self.wire(client).sock.getpeercert(binary_form=True)  # type: ignore[attr-defined]
+        return serial_of(certificate)
 
-    def hit(self, who: str = "c1") -> None:
+    def serve_read(self, client: str = "c1") -> None:
         self.play(f"""
-            {who} send GET /api/k1
+            {client} send GET /api/k1
             s1 expect GET /api/k1
             s1 send 200 value
-            {who} expect 200 value
+            {client} expect 200 value
         """)
 
 
-class Serves(Encrypted):
-    def test_a_read_and_ready_over_the_same_connection(self) -> None:
-        self.hit()
-        self.hit()
+class RequestsOverTls(TlsScenario):
+    def test_reads_and_readiness_probe_use_one_connection(self) -> None:
+        self.serve_read()
+        self.serve_read()
         self.play("c1 send GET /ready\nc1 expect 200 ready")
         self.assertEqual(len(self.server.listener.connections), 1)
 
@@ -161,32 +163,32 @@
             p1 expect 200 value
         """)
 
-    def test_a_response_of_1_mib_to_a_slow_reader(self) -> None:
+    def test_response_to_a_slow_reader_is_buffered_once(self) -> None:
         body = "x" * 60_000
-        self.unread(body)
+        self.send_unread_response(body)
         buffered = self.server.budget.buffered_bytes
         self.assertGreater(buffered, 30_000)
-        self.assertLess(buffered, 100_000)  # one chunk is buffered twice, not the response
-        self.takes(MIB)
+        self.assertLess(buffered, 100_000)  # only one chunk is buffered twice, not the whole response
+        self.set_send_buffer(MIB)
         self.play(f"c1 expect 200 {body}")
         self.assertEqual(self.server.budget.buffered_bytes, 0)
 
-    def takes(self, size: int) -> None:
-        """So much the system takes of the router before it is read."""
+    def set_send_buffer(self, size: int) -> None:
+        """Set the kernel's send buffer of the only client connection, in bytes."""
         (connection,) = self.server.listener.connections
         connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size)
 
-    def unread(self, body: str) -> None:
-        """Let a response be sent that its client does not read yet."""
+    def send_unread_response(self, body: str) -> None:
+        """Send a response that its client does not read yet."""
         self.play("c1 send GET /api/k1\ns1 expect GET")
-        self.takes(4096)
+        self.set_send_buffer(4096)
         with mock.patch.object(self.wire("c1"), "pull"):
             self.play(f"s1 send 200 {body}")
             for _ in range(20):
                 self.step()
 
-    def test_an_unread_response_is_dropped_with_its_connection(self) -> None:
-        self.unread("x" * MIB)
+    def test_unread_response_is_discarded_with_its_connection(self) -> None:
+        self.send_unread_response("x" * MIB)
         with mock.patch.object(self.wire("c1"), "pull"):
             self.play("wait 11000")
         self.assertEqual(self.server.budget.buffered_bytes, 0)
@@ -197,19 +199,19 @@
         self.play(f"c1 raw {one * 3}")
         self.play("c1 expect 200\nc1 expect 200\nc1 expect 200")
 
-    def test_a_write_of_64_kib_that_comes_in_many_records(self) -> None:
+    def test_write_of_64_kib_in_many_records(self) -> None:
         value = "v" * 65_000
         self.play(f"c1 send PUT /api/k1 {value}\norigin expect PUT /api/k1 {value}\norigin send 200 done")
         self.play("c1 expect 200 done")
 
-    def test_the_end_is_noticed_and_counts_as_gone(self) -> None:
+    def test_close_notify_of_the_client_counts_as_disconnect(self) -> None:
         self.play("c1 send GET /api/k1\ns1 expect GET")
         with self.assertRaises(ssl.SSLWantReadError):
             self.wire("c1").sock.unwrap()  # type: ignore[attr-defined]
         self.play("wait 10\ns1 expect closed")
         self.assertEqual(self.server.engine.totals()["client_gone"], 1)
 
-    def test_an_end_in_the_same_read_as_a_request_counts_too(self) -> None:
+    def test_close_notify_in_the_same_read_as_a_request_counts_as_disconnect(self) -> None:
         self.play("c1 send GET /ready\nc1 expect 200")
         sock = self.wire("c1").sock
         sock.send(
@@ -222,7 +224,7 @@
         self.assertEqual(self.server.engine.totals()["client_gone"], 1)
 
     @unittest.skipUnless(shutil.which("openssl"), "Python's own client cannot ask for small records")
-    def test_a_client_that_requests_small_records_gets_all(self) -> None:
+    def test_client_that_negotiates_small_records_gets_the_complete_response(self) -> None:
         host, port = self.address()
         with subprocess.Popen(
             ["openssl", "s_client", "-connect", f"{host}:{port}", "-maxfraglen", "512", "-quiet"],
@@ -243,17 +245,17 @@
             for _ in range(20):
                 self.step()
             self.play("wait 600")
-            shown = process.stdout.read()
-        self.assertEqual(shown.count(b"y"), 40_000)
+            output = process.stdout.read()
+        self.assertEqual(output.count(b"y"), 40_000)
 
     def test_closing_sends_close_notify(self) -> None:
         self.play("c1 send GET /ready Connection=close\nc1 expect 200 Connection=close\nwait 10")
         wire = self.wire("c1")
         wire.pull()
         self.assertTrue(wire.ended)
-        self.assertEqual(wire.sock.refused, "")  # type: ignore[attr-defined]
+        self.assertEqual(wire.sock.tls_error, "")  # type: ignore[attr-defined]
 
-    def test_the_shutdown_waits_for_pending_requests(self) -> None:
+    def test_shutdown_waits_for_pending_requests_over_tls(self) -> None:
         self.play("""
             c1 send GET /api/k1
             s1 expect GET /api/k1
@@ -268,7 +270,7 @@
             router ended
         """)
 
-    def test_the_limit_of_clients_counts_both_listeners(self) -> None:
+    def test_connection_limit_applies_to_both_listeners_together(self) -> None:
         cap = int(0.5 * self.server.budget.limit)
         plain = [self.wire(f"p{n}") for n in range(cap - 1)]
         self.step()
@@ -290,42 +292,42 @@
         self.assertEqual(len(listener.connections), 2)
 
 
-class Stalls(Encrypted):
+class StalledTlsClients(TlsScenario):
     sockets = 256
 
-    def raw(self, who: str, data: str) -> None:
-        """Bytes as they are, not encrypted."""
-        self.wires[who] = self.wires.get(who) or [
+    def send_unencrypted(self, client: str, data: str) -> None:
+        """Send bytes to the TLS listener without encryption."""
+        self.wires[client] = self.wires.get(client) or [
             ScenarioConnection(socket.create_connection(self.address()))
         ]
-        self.wires[who][0].sock.sendall(data.encode().decode("unicode_escape").encode("latin-1"))
+        self.wires[client][0].sock.sendall(data.encode().decode("unicode_escape").encode("latin-1"))
         self.step()
 
-    def test_no_data_ever_sent(self) -> None:
-        self.raw("x1", "")
+    def test_connection_without_data_is_closed(self) -> None:
+        self.send_unencrypted("x1", "")
         self.play("wait 2900\nx1 expect closed")
 
-    def test_a_partial_handshake(self) -> None:
-        self.raw("x1", r"\x16\x03\x01\x02\x00\x01")
+    def test_partial_handshake_is_closed_and_logged(self) -> None:
+        self.send_unencrypted("x1", r"\x16\x03\x01\x02\x00\x01")
         with self.assertLogs("rosepick", "WARNING") as logs:
             self.play("wait 1000")
-            self.raw("x1", r"\x00")
+            self.send_unencrypted("x1", r"\x00")
             self.play("wait 1900\nx1 expect closed")
         self.assertEqual(vars(logs.records[0])["fields"]["reason"], "the handshake was not completed")
 
-    def test_what_is_no_tls(self) -> None:
+    def test_plain_http_on_the_tls_listener_is_refused(self) -> None:
         with self.assertLogs("rosepick", "WARNING") as logs:
-            self.raw("x1", r"GET /ready HTTP/1.1\r\n\r\n")
+            self.send_unencrypted("x1", r"GET /ready HTTP/1.1\r\n\r\n")
             self.play("x1 expect closed")
         self.assertEqual([line.getMessage() for line in logs.records], ["tls_refused"])
 
-    def test_a_partial_record_ends_the_connection(self) -> None:
+    def test_partial_record_times_out(self) -> None:
         self.play("c1 send GET /ready\nc1 expect 200")
         sock = self.wire("c1").sock
         os.write(sock.fileno(), b"\x17\x03\x03\x01\x00abc")
         self.play("wait 2600\nc1 expect 408")
 
-    def test_frames_are_counted_however_they_are_cut(self) -> None:
+    def test_record_framing_does_not_depend_on_how_data_is_split(self) -> None:
         data = (b"\x17\x03\x03\x00\x03abc" + b"\x17\x03\x03\x00\x00") * 3
         for size in range(1, len(data)):
             framing = RecordFraming()
@@ -336,27 +338,27 @@
             self.assertTrue(framing.has_partial_record())
 
 
-class HandshakeTurns(Encrypted):
+class HandshakeScheduling(TlsScenario):
     conf = "tls_handshake_part 50"
 
-    def test_many_handshakes_have_their_share_of_the_time(self) -> None:
-        """Each step of one takes 11 ms here: two may begin at once, then one in some 40 ms."""
-        self.cpu = (0.011 * n for n in range(100_000))
+    def test_handshakes_are_limited_to_their_share_of_the_time(self) -> None:
+        """Each step of a handshake takes 11 ms: two may start at once, then one about every 40 ms."""
+        self.cpu_clock = (0.011 * n for n in range(100_000))
         for n in range(12):
             self.wire(f"c{n}")
         for _ in range(10):
             self.step()
-        self.assertLessEqual(self.up(), 2)
-        self.play("p1 send GET /ready\np1 expect 200")  # the plain listener waits for none of them
+        self.assertLessEqual(self.completed_handshakes(), 2)
+        self.play("p1 send GET /ready\np1 expect 200")  # the plain listener does not wait for handshakes
         counts = []
         for _ in range(15):
             self.play("wait 40")
-            counts.append(self.up())
+            counts.append(self.completed_handshakes())
         self.assertLess(counts[4], 9)
         self.assertEqual(counts[-1], 12)
 
-    def test_one_that_left_while_it_waited_takes_no_turn(self) -> None:
-        self.cpu = (0.011 * n for n in range(100_000))
+    def test_client_that_disconnects_while_waiting_does_not_delay_others(self) -> None:
+        self.cpu_clock = (0.011 * n for n in range(100_000))
         for n in range(4):
             self.wire(f"c{n}")
         for _ in range(10):
@@ -365,17 +367,17 @@
         queue = self.server.tls.handshakes.queue
         self.assertEqual(len(queue), 2)
         self.play("c2 close\nwait 200")
-        self.assertEqual((len(queue), self.up()), (0, 3))
+        self.assertEqual((len(queue), self.completed_handshakes()), (0, 3))
 
-    def test_what_is_sent_while_it_waits_is_bounded(self) -> None:
-        self.cpu = (0.050 * n for n in range(100_000))
+    def test_data_received_before_the_handshake_is_bounded(self) -> None:
+        self.cpu_clock = (0.050 * n for n in range(100_000))
         self.wire("c1")
         self.step()
         sock = socket.create_connection(self.address())
         self.wires["x1"] = [ScenarioConnection(sock)]
         sock.setblocking(True)
         sock.settimeout(0.2)
-        with self.assertRaises(OSError):  # it is closed, or no more is read
+        with self.assertRaises(OSError):  # the router closes the connection or stops reading
             for _ in range(100):
                 sock.sendall(b"\x16\x03\x01\x40\x00" + b"x" * 16_384)
                 self.loop.step(0)
@@ -386,15 +388,15 @@
         ]
         self.assertEqual(unfinished, [])
 
-    def up(self) -> int:
-        """How many have shaken hands."""
+    def completed_handshakes(self) -> int:
+        """Return how many connections have completed their handshake."""
         return sum(
             getattr(connection.stream, "_handshake_complete", False)
             for connection in self.server.listener.connections
         )
 
 
-class Certificates(Encrypted):
+class CertificateReload(TlsScenario):
     conf = "tls_reload_interval 5"
 
     def events(self, text: str) -> dict[str, Any]:
@@ -402,69 +404,69 @@
             self.play(text)
         return {line.getMessage(): vars(line).get("fields", {}) for line in logs.records}
 
-    def test_a_new_pair_is_applied_at_the_interval_and_open_connections_keep_theirs(self) -> None:
-        self.hit("c1")
-        self.assertEqual(self.serial("c1"), "1111")
-        self.use(self.second)
+    def test_new_pair_is_applied_at_the_interval_and_open_connections_keep_theirs(self) -> None:
+        self.serve_read("c1")
+        self.assertEqual(self.serial_seen_by("c1"), "1111")
+        self.install(self.second)
         self.assertIn("tls_reloaded", self.events("wait 5100"))
-        self.hit("c1")
-        self.hit("c2")
-        self.assertEqual((self.serial("c1"), self.serial("c2")), ("1111", "2222"))
+        self.serve_read("c1")
+        self.serve_read("c2")
+        self.assertEqual((self.serial_seen_by("c1"), self.serial_seen_by("c2")), ("1111", "2222"))
 
-    def test_a_new_pair_is_applied_at_sighup(self) -> None:
-        self.use(self.second)
+    def test_new_pair_is_applied_at_sighup(self) -> None:
+        self.install(self.second)
         self.assertIn("tls_reloaded", self.events("router reload"))
-        self.hit()
-        self.assertEqual(self.serial("c1"), "2222")
+        self.serve_read()
+        self.assertEqual(self.serial_seen_by("c1"), "2222")
 
-    def test_an_unchanged_pair_is_not_applied_again(self) -> None:
+    def test_unchanged_pair_is_not_applied_again(self) -> None:
         with self.assertNoLogs("rosepick", "INFO"):
             tls = self.server.tls
             assert tls is not None
             tls._reload_periodically()
 
-    def test_an_unusable_pair_is_not_applied_and_the_old_one_stays(self) -> None:
+    def test_invalid_pair_is_not_applied_and_the_old_one_stays(self) -> None:
         cert, key = self.folder / "cert.pem", self.folder / "key.pem"
-        encrypted = self.first.encrypted(b"secret")
-        for spoil, text in (
+        encrypted = self.first.encrypted_key(b"secret")
+        for damage, text in (
             (lambda: shutil.copy(self.second.cert, cert), 'does not match tls_cert "'),
             (lambda: cert.write_text("-----BEGIN CERTIFICATE-----\nx\n"), "holds no certificate that can be"),
             (lambda: key.write_bytes(b"\x00\xff"), "holds no key"),
-            (lambda: key.write_bytes(encrypted), "is encrypted"),  # and there is no prompt for its password
+            (lambda: key.write_bytes(encrypted), "is encrypted"),  # without a prompt for the password
             (lambda: key.unlink(), "cannot be read: No such file"),
         ):
-            self.use(self.first)
+            self.install(self.first)
             self.play("router reload")
-            spoil()
-            for way in ("wait 5100", "router reload"):
-                with self.subTest(text, way=way):
-                    events = self.events(way)
+            damage()
+            for trigger in ("wait 5100", "router reload"):
+                with self.subTest(text, trigger=trigger):
+                    events = self.events(trigger)
                     self.assertIn(text, str(events["tls_reload_failed"]["text"]))
                     self.assertNotIn("tls_reloaded", events)
-        self.hit()
-        self.assertEqual(self.serial("c1"), "1111")
+        self.serve_read()
+        self.assertEqual(self.serial_seen_by("c1"), "1111")
 
-    def test_a_pair_replaced_in_two_steps_is_applied_once_it_is_complete(self) -> None:
+    def test_pair_replaced_in_two_steps_is_applied_once_complete(self) -> None:
         shutil.copy(self.second.cert, self.folder / "cert.pem")
         self.assertIn("tls_reload_failed", self.events("wait 5100"))
         shutil.copy(self.second.key, self.folder / "key.pem")
         self.assertIn("tls_reloaded", self.events("wait 5100"))
-        self.hit()
-        self.assertEqual(self.serial("c1"), "2222")
+        self.serve_read()
+        self.assertEqual(self.serial_seen_by("c1"), "2222")
 
-    def test_connections_keep_what_they_were_made_with(self) -> None:
-        self.hit("c1")
-        self.use(self.second)
+    def test_open_connections_keep_their_certificate(self) -> None:
+        self.serve_read("c1")
+        self.install(self.second)
         self.play("wait 5100")
-        self.hit("c1")
-        self.hit("c2")
-        self.assertEqual((self.serial("c1"), self.serial("c2")), ("1111", "2222"))
+        self.serve_read("c1")
+        self.serve_read("c2")
+        self.assertEqual((self.serial_seen_by("c1"), self.serial_seen_by("c2")), ("1111", "2222"))
 
 
-class Minimum(Encrypted):
+class MinimumVersion(TlsScenario):
     conf = "tls_min_version 1.3"
 
-    def test_a_handshake_below_it_is_refused_and_logged(self) -> None:
+    def test_handshake_below_the_minimum_version_is_refused_and_logged(self) -> None:
         self.context.maximum_version = ssl.TLSVersion.TLSv1_2
         with self.assertLogs("rosepick", "WARNING") as logs:
             self.wire("c1").pull()
@@ -472,30 +474,30 @@
         self.assertEqual(logs.records[0].getMessage(), "tls_refused")
         self.assertEqual(vars(logs.records[0])["fields"]["reason"], "unsupported_protocol")
 
-    def test_one_at_it_is_served(self) -> None:
-        self.hit()
+    def test_handshake_at_the_minimum_version_is_served(self) -> None:
+        self.serve_read()
 
 
-class ClientCertificates(Encrypted):
-    def asks(self, mode: str) -> None:
-        """Request certificates of clients from here on."""
+class ClientCertificates(TlsScenario):
+    def set_client_cert(self, mode: str) -> None:
+        """Apply a mode of `tls_client_cert`."""
         self.conf = f"tls_client_cert {mode}\ntls_client_ca {self.ca.cert}"
         self.play("router reload")
 
-    def shows(self, pair: Pair | None) -> list[str]:
-        """A client that shows that certificate is served; the subjects that were logged."""
-        self.context = self.client(pair)
+    def serve_client_with(self, pair: CertificatePair | None) -> list[str]:
+        """Serve a client with a certificate or none; return the logged subjects."""
+        self.context = self.client_context(pair)
         with self.assertLogs("rosepick", "INFO") as logs:
             logging.getLogger("rosepick").info("begin")
-            self.hit()
+            self.serve_read()
         return [
             vars(line)["fields"]["client_subject"]
             for line in logs.records
             if line.getMessage() == "client_verified"
         ]
 
-    def is_refused(self, pair: Pair | None, reason: str) -> None:
-        self.context = self.client(pair)
+    def assert_refused(self, pair: CertificatePair | None, reason: str) -> None:
+        self.context = self.client_context(pair)
         with self.assertLogs("rosepick", "WARNING") as logs:
             self.wire("c1").pull()
             for _ in range(10):
@@ -504,32 +506,32 @@
         self.assertEqual(vars(logs.records[0])["fields"]["reason"], reason)
 
     def test_off_requests_no_certificate(self) -> None:
-        self.assertEqual(self.shows(self.good), [])
+        self.assertEqual(self.serve_client_with(self.trusted), [])
 
-    def test_optional(self) -> None:
-        self.asks("optional")
-        self.assertEqual(self.shows(self.good), ["CN=meter-gw-07,O=tokachi-power"])
+    def test_optional_certificate_is_verified_if_present(self) -> None:
+        self.set_client_cert("optional")
+        self.assertEqual(self.serve_client_with(self.trusted), ["CN=meter-gw-07,O=tokachi-power"])
         self.play("c1 close")
-        self.assertEqual(self.shows(None), [])
+        self.assertEqual(self.serve_client_with(None), [])
         self.play("c1 close")
-        self.is_refused(self.foreign, "certificate_verify_failed")
+        self.assert_refused(self.untrusted, "certificate_verify_failed")
 
-    def test_required(self) -> None:
-        self.asks("required")
-        self.assertEqual(self.shows(self.good), ["CN=meter-gw-07,O=tokachi-power"])
+    def test_required_certificate_must_be_present_and_valid(self) -> None:
+        self.set_client_cert("required")
+        self.assertEqual(self.serve_client_with(self.trusted), ["CN=meter-gw-07,O=tokachi-power"])
         self.play("c1 close")
-        self.is_refused(None, "peer_did_not_return_a_certificate")
-        self.is_refused(self.foreign, "certificate_verify_failed")
+        self.assert_refused(None, "peer_did_not_return_a_certificate")
+        self.assert_refused(self.untrusted, "certificate_verify_failed")
 
-    def test_a_storm_keeps_every_subject(self) -> None:
-        storm = LogRateLimiter(lambda: 0.0)
+    def test_log_rate_limit_does_not_drop_client_subjects(self) -> None:
+        limiter = LogRateLimiter(lambda: 0.0)
         for event, passed in (("client_verified", 100), ("request_rejected", 20)):
             record = logging.LogRecord("rosepick.net.tls", logging.INFO, "", 0, event, (), None)
-            self.assertEqual(sum(storm.filter(record) for _ in range(100)), passed)
+            self.assertEqual(sum(limiter.filter(record) for _ in range(100)), passed)
 
 
-class Subjects(unittest.TestCase):
-    def test_rfc_4514(self) -> None:
+class CertificateSubjects(unittest.TestCase):
+    def test_subject_is_formatted_as_rfc_4514(self) -> None:
         cases: tuple[tuple[DistinguishedName, str], ...] = (
             ((), ""),
             (
@@ -556,11 +558,11 @@
             self.assertEqual(format_rfc4514(name), text)
 
 
-class Settings(unittest.TestCase):
+class TlsSettings(unittest.TestCase):
     def faults(self, text: str) -> list[str]:
         return [str(fault) for fault in operator_file.read(text.encode(), "rosepick.conf").faults]
 
-    def test_what_does_not_go_together(self) -> None:
+    def test_invalid_combinations_of_settings_are_reported(self) -> None:
         for text, fault in (
             ('tls_min_version "1.4"', 'tls_min_version ""1.4"" is not one of 1.2, 1.3'),
             ("tls_min_version 1.4", 'tls_min_version "1.4" is not one of 1.2, 1.3'),
@@ -574,10 +576,10 @@
         ):
             self.assertEqual(self.faults(text), [f"rosepick.conf line 1: {fault}"])
 
-    def test_check_looks_into_the_files_and_at_the_ports(self) -> None:
+    def test_check_command_reports_invalid_files_and_ports(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            a, b = make(folder, "a"), make(folder, "b")
+            a, b = create_pair(folder, "a"), create_pair(folder, "b")
             conf = folder / "rosepick.conf"
             config = folder / "config.json"
             config.write_text('{"listen": "127.0.0.1:5000"}')
