--- a/rosepick/connections/limit_estimator.py
+++ b/rosepick/connections/limit_estimator.py
@@ -85,10 +85,10 @@
         """Begin a time window for the detection of a plateau."""
         self._window_began_at = now
         self._openings = 0
-        self._lowest: float = inf
-        self._highest: float = 0.0
+        self._min_held: float = inf
+        self._max_held: float = 0.0
 
-    def record_held(self, count: int) -> None:
+    def record_held_count(self, count: int) -> None:
         """Record how many connections clients hold; raise the limit if they hold more than it."""
         if self.configured_limit is None and count > self.limit:
             self.limit = int(RAISE_FACTOR * count) + 1
@@ -97,8 +97,8 @@
     def record_opening(self, now: float, held_count: int) -> None:
         """Record that a client opened a connection for a request; `held_count` includes it."""
         self._openings += 1
-        self._lowest = min(self._lowest, held_count)
-        self._highest = max(self._highest, held_count)
+        self._min_held = min(self._min_held, held_count)
+        self._max_held = max(self._max_held, held_count)
         if self._probe is None or now - self._probe.started_at > PROBE_WINDOW_MS:
             return
         self._openings_to_confirm -= 1
@@ -142,9 +142,9 @@
         if not has_stopped and not (is_on_plateau and is_mostly_inactive):
             return 0
         count = min(activity.inactive_count, max(MIN_PROBE_CLOSES, activity.inactive_count // PROBE_DIVISOR))
-        usual = 0.0 if has_stopped else activity.opening_rate_per_s * PROBE_WINDOW_MS / 1000.0
-        self._openings_to_confirm = usual + max(
-            MIN_REOPENED_FRACTION * count, NOISE_STANDARD_DEVIATIONS * sqrt(usual)
+        usual_openings = 0.0 if has_stopped else activity.opening_rate_per_s * PROBE_WINDOW_MS / 1000.0
+        self._openings_to_confirm = usual_openings + max(
+            MIN_REOPENED_FRACTION * count, NOISE_STANDARD_DEVIATIONS * sqrt(usual_openings)
         )
         self._probe = _Probe(now, activity.held_count)
         return count
@@ -153,9 +153,9 @@
         """Return whether a time window ends now in which the held connections stayed almost constant."""
         if now - self._window_began_at < PLATEAU_WINDOW_MS:
             return False
-        change = self._highest - self._lowest
+        change = self._max_held - self._min_held
         is_on_plateau = self._openings >= MIN_PLATEAU_OPENINGS and change <= max(
-            1.0, PLATEAU_TOLERANCE * self._highest
+            1.0, PLATEAU_TOLERANCE * self._max_held
         )
         self._begin_window(now)
         return is_on_plateau
--- a/rosepick/connections/opening_rate.py
+++ b/rosepick/connections/opening_rate.py
@@ -23,9 +23,8 @@
     def __init__(self, now: float) -> None:
         self.rate_at_last_opening = 0.0  # gross rate per second
         self.last_opened_at = now
-        self.expected_reopenings = (
-            0.0  # expected openings in place of connections closed since the last update
-        )
+        # expected openings in place of connections that the router closed since the last update
+        self.expected_reopenings = 0.0
         self.reopen_probability = 0.0  # for a connection closed after one request
         self._openings = 0  # since the last update
         self._gross_rate = 0.0  # smoothed
--- a/rosepick/connections/policy.py
+++ b/rosepick/connections/policy.py
@@ -106,7 +106,7 @@
                 self._unclaimed_since = None
                 self._eviction_backoff_ms = 0.0
                 self._next_eviction_at = now
-            self.headroom.limit_estimator.record_held(self.connection_table.client_held_count())
+            self.headroom.limit_estimator.record_held_count(self.connection_table.client_held_count())
         elif record.request_count == 2:
             self.reuse_history.record_use(record.peer, True)
         if record.is_reuse_sample:
--- a/rosepick/net/batch_connection.py
+++ b/rosepick/net/batch_connection.py
@@ -208,9 +208,9 @@
         self.scheduler.remove_batch(self)
 
     def is_active(self) -> bool:
-        """Whether a batch is being answered."""
+        """Return whether a batch is being answered."""
         return self._is_active
 
     def _client_stopped_reading(self, now: float) -> bool:
-        """Whether the client does not read an item in time while other items wait for its slot."""
+        """Return whether the client does not read an item in time while other items wait for its slot."""
         return now >= self.response_awaited_until
--- a/rosepick/net/batch_listener.py
+++ b/rosepick/net/batch_listener.py
@@ -38,7 +38,7 @@
         )
 
     def is_active(self) -> bool:
-        """Whether a batch is in progress."""
+        """Return whether a batch is in progress."""
         return bool(self.scheduler.batches)
 
     def shorten_deadlines(self, deadline: float) -> None:
--- a/rosepick/net/batch_scheduler.py
+++ b/rosepick/net/batch_scheduler.py
@@ -31,15 +31,12 @@
 # One batch and one item in flight are allowed for each 16 descriptors. A batch needs one, and an item two:
 # both ends of its connection.
 DESCRIPTORS_PER_BATCH = 16
-SINGLE_BATCH_FRACTION = (
-    0.75  # maximum fraction of the slots for a single batch, so that a second finds a free one
-)
+# Maximum fraction of the slots for a single batch, so that a second batch finds a free slot.
+SINGLE_BATCH_FRACTION = 0.75
 SHARED_BATCH_FRACTION = 0.5  # maximum fraction of the slots for one of several batches
 BUFFERED_BYTES_FRACTION = 0.5  # maximum fraction of the memory for responses that items may use
 RESPONSE_COPIES = 4  # copies of a response at one time: received and joined, in the router and in this client
-EXPECTED_SIZE_DECAY = (
-    0.5  # largest decrease of the expected response size by one smaller response, as a factor
-)
+EXPECTED_SIZE_DECAY = 0.5  # smallest factor by which one response reduces the expected response size
 
 
 class Batch(Protocol):
@@ -51,7 +48,7 @@
     in_flight: int  # items sent and not yet written to the client
 
     def is_active(self) -> bool:
-        """Whether the batch is being answered."""
+        """Return whether the batch is being answered."""
 
     def on_item_finished(self) -> None:
         """Handle an item that has its response or a status in place of one."""
@@ -155,12 +152,12 @@
         bytes is therefore repeated once, as RFC 9112, 9.3.1 describes.
         """
         item, self.item = self.item, None
-        was_unread = self.used and not self._response_begun
+        may_resend = self.used and not self._response_begun
         self.close()
         if item is None:
             return
         item.connection = None
-        if was_unread and not item.was_resent:
+        if may_resend and not item.was_resent:
             item.was_resent = True
             self.scheduler.send(item, on_new_connection=True)
         else:
@@ -191,12 +188,12 @@
         self.own_addresses = own_addresses
         self.batches: dict[Batch, None] = {}
         self.idle: list[BatchItemConnection] = []
-        # starts at the worst case and decreases with each response
+        # starts at the worst case and adapts to the sizes of received responses
         self.expected_response_bytes = float(batch_protocol.MAX_ITEM_RESPONSE_BYTES)
         self._is_sending = False
 
     def has_capacity(self) -> bool:
-        """Whether one more batch may be in progress."""
+        """Return whether one more batch may be in progress."""
         return len(self.batches) < self._max_by_descriptors()
 
     def _max_by_descriptors(self) -> int:
@@ -294,7 +291,7 @@
             connection.close()
 
     def remove_idle(self, connection: BatchItemConnection) -> None:
-        """Remove a connection from the idle ones, if it is idle."""
+        """Remove a connection from the idle connections, if it is idle."""
         if connection in self.idle:
             self.idle.remove(connection)
 
--- a/rosepick/net/capture_output.py
+++ b/rosepick/net/capture_output.py
@@ -132,7 +132,7 @@
 
 
 def accepts_write(fd: int) -> bool:
-    """Whether a descriptor accepts a chunk without blocking and holds little unread data."""
+    """Return whether a descriptor accepts a chunk without blocking and holds little unread data."""
     poll = select.poll()
     poll.register(fd, select.POLLOUT)
     ready = poll.poll(0)
--- a/rosepick/net/client_connection.py
+++ b/rosepick/net/client_connection.py
@@ -63,7 +63,7 @@
         """How long receiving a request head may take, in milliseconds."""
 
     def is_serving(self) -> bool:
-        """Whether new clients are accepted."""
+        """Return whether new clients are accepted."""
 
     def record_request(self, connection: ClientConnection) -> None:
         """Record that a connection has begun to serve a request."""
@@ -191,7 +191,7 @@
         return max(self.record.opened_at, now - config.request_timeout_ms + LATE_FIRST_REQUEST_MS)
 
     def _client_stopped_reading(self, now: float) -> bool:
-        """Whether the client does not read its response, which would occupy memory indefinitely."""
+        """Return whether the client does not read its response, which would occupy memory indefinitely."""
         idle_ms = now - self.stream.last_write_at
         return idle_ms >= NO_PROGRESS_TIMEOUT_MS or (
             self.response_body is None
@@ -200,7 +200,7 @@
         )
 
     def _client_stopped_sending(self, now: float, since: float) -> bool:
-        """Whether the client sends its request head too late or its body below the minimum rate."""
+        """Return whether the client sends its request head too late or its body below the minimum rate."""
         protocol = self.protocol
         overdue_ms = now - since - self.listener.request_timeout_ms
         if overdue_ms < 0 or (protocol.response_pending and protocol.body_stream is None):
@@ -251,7 +251,7 @@
         )
 
     def is_idle(self) -> bool:
-        """Whether the connection is between requests, without unwritten or unread data."""
+        """Return whether the connection is between requests, without unwritten or unread data."""
         stream = self.stream
         return (
             self.protocol.is_idle()
--- a/rosepick/net/downstream_connection.py
+++ b/rosepick/net/downstream_connection.py
@@ -303,7 +303,7 @@
             self.record_response(status)
 
     def closes_after_response(self) -> bool:
-        """Whether the connection closes after the pending response.
+        """Return whether the connection closes after the pending response.
 
         It does if the router shuts down, or if the slot is needed before the expected next request.
         """
--- a/rosepick/net/endpoint_watch.py
+++ b/rosepick/net/endpoint_watch.py
@@ -29,9 +29,8 @@
 # another for up to 3 s. The margin of 100 ms lets a response at the end of the 3 s arrive before the next
 # poll.
 FIRST_RESPONSE_TIMEOUT_MS = 3_100.0
-MAX_NOTIFICATION_DELAY_MS = (
-    6_000.0  # a change counts as notified after this time, whatever happened to the polls
-)
+# A change counts as notified after this time, even if all polls failed.
+MAX_NOTIFICATION_DELAY_MS = 6_000.0
 
 
 def max_notification_delay_ms(first_retry_ms: float, max_retry_ms: float) -> float:
@@ -73,9 +72,8 @@
         self.has_responded = False  # any response since the start or the latest switch of the service
         self.poll_count = 0  # polls since the start; the number of the latest poll
         self._connection: DiscoveryConnection | None = None
-        self._overdue: DiscoveryConnection | None = (
-            None  # connection of an overdue poll, which may still get a response
-        )
+        # connection of an overdue poll, which may still get a response
+        self._overdue: DiscoveryConnection | None = None
         self._needs_full_list = False  # after a switch of the service, until a list is received
 
     def set_watching(self, enabled: bool) -> None:
--- a/rosepick/net/graceful_shutdown.py
+++ b/rosepick/net/graceful_shutdown.py
@@ -16,7 +16,8 @@
     from .batch_listener import BatchListener  # imported only if it is configured
 
 MIN_ACCEPT_AFTER_SIGTERM_MS = 600.0  # minimum time during which new connections are accepted
-QUIET_BEFORE_CLOSE_MS = 150.0  # time without a new connection after which the listener may close earlier
+# Time without a new connection after which the listener closes before the maximum.
+QUIET_BEFORE_CLOSE_MS = 150.0
 MAX_ACCEPT_AFTER_SIGTERM_MS = 1_000.0  # maximum time during which new connections are accepted
 SHUTDOWN_GRACE_MS = 100.0  # time from the last possible deadline to the forced end of the process
 SHUTDOWN_POLL_INTERVAL_MS = 20.0  # interval of the checks whether requests are pending
@@ -96,7 +97,7 @@
 
 
 def _is_new(connection: ClientConnection, now: float) -> bool:
-    """Whether the first request of a new connection may be in transit.
+    """Return whether the first request of a new connection may be in transit.
 
     Closing the connection while its client sends a request would lose that request.
     """
--- a/rosepick/net/listener.py
+++ b/rosepick/net/listener.py
@@ -69,7 +69,7 @@
     queue_age: AcceptQueueAge
 
     def accepts_plain_http(self) -> bool:
-        """Whether clients of this socket send ordinary HTTP requests without TLS."""
+        """Return whether clients of this socket send ordinary HTTP requests without TLS."""
         return self.make_stream is TcpStream and self.make_connection is DownstreamConnection
 
 
@@ -98,9 +98,8 @@
         )
         self.connections: dict[ClientConnection, None] = {}
         self._paused_connections: dict[ClientConnection, None] = {}  # connections whose reading is paused
-        self.own_addresses: set[tuple[str, int]] = (
-            set()
-        )  # local addresses of connections to this router itself
+        # local addresses of connections of this router to itself
+        self.own_addresses: set[tuple[str, int]] = set()
         self.open_request_ids: set[bytes] = set()
         self.is_shutting_down = False
         self.rejected_count = 0
@@ -175,7 +174,7 @@
                 self.loop.register(listen_socket.sock, READ, partial(self._accept_batch, listen_socket))
 
     def is_serving(self) -> bool:
-        """Whether new clients are accepted."""
+        """Return whether new clients are accepted."""
         return self.has_started and not self.is_shutting_down
 
     def pause(self) -> None:
@@ -198,7 +197,7 @@
     # ---------------------------------------------------------------------------------------- accepting
 
     def _is_at_limit(self) -> bool:
-        """Whether client connections use their whole share of the descriptors."""
+        """Return whether client connections use their whole share of the descriptors."""
         return len(self.connections) >= self.budget.downstream_limit()
 
     def _can_accept(self) -> bool:
@@ -212,7 +211,7 @@
         return self.budget.ensure_available(DescriptorUse.DOWNSTREAM)
 
     def _may_accept_over_limit(self) -> bool:
-        """Whether a connection may be accepted beyond the limit to learn its address."""
+        """Return whether a connection may be accepted beyond the limit to learn its address."""
         excess = len(self.connections) - self.budget.downstream_limit()
         return 0 <= excess < MAX_ACCEPTED_OVER_LIMIT and self.budget.used < self.budget.limit
 
@@ -252,7 +251,7 @@
         peer = "" if address[:2] in self.own_addresses else str(address[0])
         accepted_since = listen_socket.queue_age.record_accept()
         if not self._refuse_if_late(listen_socket, sock, accepted_since):
-            self._admit(listen_socket, sock, peer, accepted_since)
+            self._add_connection(listen_socket, sock, peer, accepted_since)
         return True
 
     def _refuse_if_late(
@@ -276,7 +275,7 @@
         # once, connections can be evicted only once they have reached a minimum age.
         self.loop.call_after(ACCEPT_RETRY_MS, self.start)
 
-    def _admit(
+    def _add_connection(
         self, listen_socket: ListenSocket, sock: socket.socket, peer: str, accepted_since: float
     ) -> None:
         self.last_accepted_at = self.loop.now()
--- a/rosepick/net/process_handover.py
+++ b/rosepick/net/process_handover.py
@@ -33,9 +33,9 @@
         self.process_share = ProcessShare(
             () if self.registry is None else self.registry.other_descriptor_counts()
         )
-        self._started = loop.now()
+        self._started_at = loop.now()
 
-    def follow(
+    def poll_peers(
         self,
         module: DecisionModule,
         descriptor_count: Callable[[], int],
@@ -54,7 +54,7 @@
         if self.registry is None:
             return
         self.loop.call_after(
-            POLL_INTERVAL_MS, lambda: self.follow(module, descriptor_count, is_serving, on_change)
+            POLL_INTERVAL_MS, lambda: self.poll_peers(module, descriptor_count, is_serving, on_change)
         )
         self.registry.publish_descriptor_count(descriptor_count())
         count_before = len(self.process_share.other_descriptor_counts)
@@ -78,11 +78,11 @@
         assert self.registry is not None
         now = self.loop.now()
         document = self.registry.read_state()
-        self.process_share.state_transfer_settled = now - self._started >= STATE_WAIT_MS
+        self.process_share.state_transfer_settled = now - self._started_at >= STATE_WAIT_MS
         if document is None or not isinstance(module, Router):
             return self.process_share.state_transfer_settled
         try:
-            if exported_at(document) < self._started:
+            if exported_at(document) < self._started_at:
                 return self.process_share.state_transfer_settled
             keys = import_state(module, document, now)
             log_event(logger, logging.INFO, "state_imported", keys=keys, age_ms=now - exported_at(document))
--- a/rosepick/net/server.py
+++ b/rosepick/net/server.py
@@ -292,7 +292,7 @@
     def start_serving(self) -> None:
         """Start to accept clients, or wait until other processes permit it."""
         if self.handover is not None:
-            self.handover.follow(
+            self.handover.poll_peers(
                 self.engine.router,
                 lambda: self.budget.used,
                 self.listener.is_serving,
@@ -471,10 +471,10 @@
         if entry.status is api.Status.DRAINING
     ]
     fields = {"draining": draining, "retired": list(change.retired_uids)}
-    return {name: _shorten(uids) for name, uids in fields.items() if uids}
+    return {name: _join_uids(uids) for name, uids in fields.items() if uids}
 
 
-def _shorten(uids: list[str]) -> str:
+def _join_uids(uids: list[str]) -> str:
     """Return the first `MAX_LOGGED_UIDS` uids as one text, and the number of the others."""
     hidden_count = len(uids) - MAX_LOGGED_UIDS
     return ",".join([*uids[:MAX_LOGGED_UIDS], *([f"+{hidden_count}"] if hidden_count > 0 else [])])
--- a/rosepick/net/tcp_stream.py
+++ b/rosepick/net/tcp_stream.py
@@ -93,7 +93,7 @@
             raise OSError(error_number, os.strerror(error_number))
 
     def is_connected(self) -> bool:
-        """Whether the connect has succeeded, even before the loop reports it."""
+        """Return whether the connect has succeeded, even before the loop reports it."""
         try:
             self.sock.getpeername()
         except OSError:
@@ -124,7 +124,7 @@
             return None
 
     def has_nothing_to_read(self) -> bool:
-        """Whether there is neither unread data nor an end of input or error."""
+        """Return whether there is neither unread data nor an end of input or error."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -134,7 +134,7 @@
         return False
 
     def is_at_end(self) -> bool:
-        """Whether the peer has closed or reset the connection and all its data was read."""
+        """Return whether the peer has closed or reset the connection and all its data was read."""
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -143,7 +143,7 @@
             return True
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer has closed or reset the connection, even with unread data."""
+        """Return whether the peer has closed or reset the connection, even with unread data."""
         option = getattr(socket, "TCP_INFO", None)
         if option is None:
             return False
@@ -152,11 +152,11 @@
         return True
 
     def has_partial_record(self) -> bool:
-        """Whether an incomplete TLS record was received; never over plain TCP."""
+        """Return whether an incomplete TLS record was received; never over plain TCP."""
         return False
 
     def is_established(self) -> bool:
-        """Whether the TLS handshake is complete; always over plain TCP."""
+        """Return whether the TLS handshake is complete; always over plain TCP."""
         return True
 
     def write(self, data: bytes | memoryview) -> int:
@@ -193,7 +193,7 @@
             self._pending[0] = self._pending[0][count:]
 
     def has_unwritten(self) -> bool:
-        """Whether data is buffered."""
+        """Return whether data is buffered."""
         return bool(self._pending)
 
     def limit_kernel_buffer(self, buffer_option: int) -> None:
--- a/rosepick/net/tls.py
+++ b/rosepick/net/tls.py
@@ -112,7 +112,7 @@
 
     def reload(self, file: OperatorFile) -> None:
         """Apply a reread operator file (SIGHUP), and reload the certificate even if it is unchanged."""
-        self.handshakes.queue.cpu_fraction = 0.01 * file.integer("tls_handshake_part")
+        self.handshakes.throttle.cpu_fraction = 0.01 * file.integer("tls_handshake_part")
         self._reload_if_changed(file, {})
         self._schedule_reload()
 
--- a/rosepick/net/tls_handshakes.py
+++ b/rosepick/net/tls_handshakes.py
@@ -18,14 +18,14 @@
     ) -> None:
         self.loop = loop
         self._cpu_clock = cpu_clock
-        self.queue = HandshakeThrottle(cpu_fraction, loop.now())
+        self.throttle = HandshakeThrottle(cpu_fraction, loop.now())
         self._timer: ScheduledCall | None = None
 
     def try_begin(self, resume: Callable[[], None]) -> bool:
         """Return whether a handshake may start now; otherwise `resume` is called once it may."""
-        if self.queue.may_proceed(self.loop.now()):
+        if self.throttle.may_proceed(self.loop.now()):
             return True
-        self.queue.enqueue(resume)
+        self.throttle.enqueue(resume)
         self._schedule_next()
         return False
 
@@ -36,15 +36,15 @@
         try:
             yield
         finally:
-            self.queue.charge_cpu(1000.0 * (self._cpu_clock() - started_at))
+            self.throttle.charge_cpu(1000.0 * (self._cpu_clock() - started_at))
 
     def _schedule_next(self) -> None:
-        delay_ms = self.queue.next_delay_ms()
+        delay_ms = self.throttle.next_delay_ms()
         if delay_ms is not None and self._timer is None:
             self._timer = self.loop.call_after(delay_ms, self._resume_waiting)
 
     def _resume_waiting(self) -> None:
         self._timer = None
-        while (resume := self.queue.pop_ready(self.loop.now())) is not None:
+        while (resume := self.throttle.pop_ready(self.loop.now())) is not None:
             resume()
         self._schedule_next()
--- a/rosepick/net/tls_stream.py
+++ b/rosepick/net/tls_stream.py
@@ -53,12 +53,12 @@
             offset += step
 
     def has_partial_record(self) -> bool:
-        """Whether the last record is incomplete."""
+        """Return whether the last record is incomplete."""
         return bool(self._partial_header or self._remaining_bytes)
 
 
 class HandshakeTurn(Enum):
-    """Whether the scheduler permits a handshake to start."""
+    """State of the scheduler's permission to start a handshake."""
 
     NOT_REQUESTED = 0
     WAITING = 1
@@ -196,15 +196,15 @@
             log_event(logger, logging.WARNING, "tls_refused", reason=(error.reason or str(error)).lower())
 
     def has_nothing_to_read(self) -> bool:
-        """Whether there is neither unread data nor an end of input or error."""
+        """Return whether there is neither unread data nor an end of input or error."""
         return not self._peer_closed and super().has_nothing_to_read()
 
     def has_partial_record(self) -> bool:
-        """Whether a started handshake or a record is incomplete."""
+        """Return whether a started handshake or a record is incomplete."""
         return (self._handshake_begun and not self._handshake_complete) or self._framing.has_partial_record()
 
     def is_established(self) -> bool:
-        """Whether the handshake is complete."""
+        """Return whether the handshake is complete."""
         return self._handshake_complete
 
     # ------------------------------------------------------------------------------------------ writing
@@ -243,7 +243,7 @@
         return data
 
     def has_unwritten(self) -> bool:
-        """Whether data is buffered, plain or encrypted."""
+        """Return whether data is buffered, plain or encrypted."""
         return bool(self._pending or self._encrypted or self._outgoing.pending)
 
     def shutdown_write(self) -> None:
--- a/rosepick/net/upstream_connection.py
+++ b/rosepick/net/upstream_connection.py
@@ -59,7 +59,7 @@
         """Keep a connection for the next attempt."""
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
-        """Remove a connection from the idle ones, if it is idle."""
+        """Remove a connection from the idle connections, if it is idle."""
 
     def record_early_close(self, connection: UpstreamConnection) -> None:
         """Record that an upstream closed an idle connection."""
--- a/rosepick/net/upstream_pool.py
+++ b/rosepick/net/upstream_pool.py
@@ -36,7 +36,7 @@
 
 
 def _body_was_consumed(payload: object) -> bool:
-    """Whether part of a streamed request body was sent, so that the body cannot be sent again."""
+    """Return whether part of a streamed request body was sent, so that the body cannot be sent again."""
     assert isinstance(payload, ForwardedRequest)
     return payload.body_stream is not None and payload.body_stream.is_partly_read
 
@@ -66,9 +66,8 @@
         self.streaming: dict[UpstreamConnection, None] = {}  # busy ones whose response is streamed
         self.idle: dict[int, list[UpstreamConnection]] = {}  # by endpoint id; the most recently used last
         self.idle_by_age: OrderedDict[UpstreamConnection, None] = OrderedDict()  # the longest idle first
-        self.reuse_delay_ms = (
-            0.0  # minimum idle time before a connection is reused, until `reuse_delay_until`
-        )
+        # minimum idle time before a connection is reused, until `reuse_delay_until`
+        self.reuse_delay_ms = 0.0
         self.reuse_delay_until = 0.0
         self.zone = config.settings.zone
         loop.call_after(SWEEP_INTERVAL_MS, self._close_expired_idle)
@@ -178,7 +177,7 @@
             self.reuse_delay_until = self.loop.now() + REUSE_DELAY_DURATION_MS
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
-        """Remove a connection from the idle ones, if it is idle."""
+        """Remove a connection from the idle connections, if it is idle."""
         if connection in self.idle_by_age:
             del self.idle_by_age[connection]
             connections = self.idle[connection.endpoint_id]
--- a/tests/test_limit_estimator.py
+++ b/tests/test_limit_estimator.py
@@ -20,7 +20,7 @@
 
 def test_configured_limit_is_not_learned() -> None:
     estimator = ConnectionLimitEstimator(384, 50)
-    estimator.record_held(60)
+    estimator.record_held_count(60)
     assert estimator.limit == 50
     assert not estimator.start_probe(10_000.0, stopped_clients(held=40))
 
@@ -28,7 +28,7 @@
 def test_limit_rises_if_more_connections_are_held() -> None:
     estimator = ConnectionLimitEstimator(384)
     assert estimator.limit == 128
-    estimator.record_held(140)
+    estimator.record_held_count(140)
     assert estimator.limit > 140 * 1.2
 
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -364,10 +364,10 @@
         for _ in range(10):
             self.step()
         assert self.server.tls is not None
-        queue = self.server.tls.handshakes.queue
-        self.assertEqual(len(queue), 2)
+        throttle = self.server.tls.handshakes.throttle
+        self.assertEqual(len(throttle), 2)
         self.play("c2 close\nwait 200")
-        self.assertEqual((len(queue), self.completed_handshakes()), (0, 3))
+        self.assertEqual((len(throttle), self.completed_handshakes()), (0, 3))
 
     def test_data_received_before_the_handshake_is_bounded(self) -> None:
         self.cpu_clock = (0.050 * n for n in range(100_000))
