--- a/rosepick/connections/accept_throttle.py
+++ b/rosepick/connections/accept_throttle.py
@@ -37,7 +37,7 @@
     exceeded by at most one handshake.
 
     Args:
-        cpu_fraction: the fraction of the CPU time, 0 to 1.
+        cpu_fraction: the CPU time of handshakes as a fraction of the elapsed time, 0 to 1.
         now: the current time, milliseconds.
     """
 
--- a/rosepick/connections/eviction.py
+++ b/rosepick/connections/eviction.py
@@ -13,7 +13,7 @@
 
 # A connection that was used once counts as inactive if its expected idle time is longer than this.
 UNLIKELY_REUSE_AFTER_MS = 1_000.0
-MIN_IDLE_AGE_MS = 100.0  # a connection that has been idle for less is not evicted
+MIN_IDLE_AGE_MS = 100.0  # minimum idle time before an eviction that is not urgent
 MIN_REUSED_IDLE_AGE_MS = 2_000.0  # minimum idle time of a reused connection before an eviction on demand
 NEW_CONNECTION_GRACE_MS = 200.0  # time for a new connection to send a request before an eviction on demand
 MIN_LINGER_MS = 50.0  # minimum time of lingering before an eviction on demand
--- a/rosepick/connections/limit_estimator.py
+++ b/rosepick/connections/limit_estimator.py
@@ -2,10 +2,10 @@
 
 Clients do not report their own connection limit, so the router measures it by a probe. A probe starts when
 clients stop opening connections while answered ones are idle, or when the number of held connections stays on
-a plateau and most of them are idle. The probe closes some of the idle connections. If clients then open as
-many connections beyond the usual rate, they had reached their limit, and the limit is the number that they
-held. Otherwise they had no requests. An estimate expires, because the match may be a coincidence and because
-the policy itself keeps clients below the estimate.
+a plateau and most of them are idle. The probe closes some of the idle connections. If clients then open about
+as many connections in addition to the usual ones, they had reached their limit, which is the number that they
+held. Otherwise they had no requests. An estimate expires, because the openings may be a coincidence and
+because the policy itself keeps clients below the estimate.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 MIN_INACTIVE_FRACTION = 0.5  # minimum inactive fraction of the held connections for a probe on a plateau
 PROBE_WINDOW_MS = 300.0  # time for clients to open connections after the closes of a probe
 MIN_REOPENED_FRACTION = 0.7  # openings beyond the usual that confirm a probe, as a fraction of its closes
-NOISE_STANDARD_DEVIATIONS = 2.0  # the same, as a multiple of the standard deviation of the usual openings
+NOISE_STANDARD_DEVIATIONS = 2.0  # openings beyond the usual that confirm a probe, in standard deviations
 PROBE_DIVISOR = 8  # a probe closes one in this many inactive connections
 MIN_PROBE_CLOSES = 2  # minimum closes of a probe
 MIN_PROBE_BACKOFF_MS = 500.0  # pause after a probe without a result; doubles with each such probe
-MAX_PROBE_BACKOFF_MS = 8_000.0  # upper bound of that pause
+MAX_PROBE_BACKOFF_MS = 8_000.0  # longest pause after a probe without a result
 MIN_ESTIMATE_TTL_MS = 10_000.0  # lifetime of the first estimate; doubles with each confirmation
-MAX_ESTIMATE_TTL_MS = 300_000.0  # upper bound of that lifetime
+MAX_ESTIMATE_TTL_MS = 300_000.0  # longest lifetime of an estimate
 
 
 @dataclass(frozen=True, slots=True)
--- a/rosepick/connections/policy.py
+++ b/rosepick/connections/policy.py
@@ -23,15 +23,15 @@
 
 # A client that sends a request within this time after opening a connection opened it for that request.
 REQUEST_OPENING_WITHIN_MS = 100.0
-QUICK_REUSE_MS = 50.0  # a connection with a shorter expected idle time is always kept
+QUICK_REUSE_MS = 50.0  # a connection with a shorter expected idle time is not closed for its slot
 # One in this many connections that are not expected to be reused is kept, to test that expectation.
 CANDIDATES_PER_SAMPLE = 8
-MAX_SAMPLED_FRACTION = 1 / 8  # upper bound of these samples, as a fraction of the capacity
-MIN_EXCESS_CLOSES = 4  # minimum closes per review while more is open than a lowered limit
+MAX_SAMPLED_FRACTION = 1 / 8  # maximum number of samples, as a fraction of the capacity
+MIN_EXCESS_CLOSES = 4  # minimum closes per review while more connections are open than a lowered limit
 EXCESS_CLOSE_FRACTION = 1 / 8  # closes per review, as a fraction of the excess over a lowered limit
 CLAIM_WINDOW_MS = 300.0  # an evicted slot that no client uses within this time counts as unclaimed
 MIN_EVICTION_BACKOFF_MS = 1_000.0  # pause of evictions after unclaimed slots; doubles each time
-MAX_EVICTION_BACKOFF_MS = 8_000.0  # upper bound of that pause
+MAX_EVICTION_BACKOFF_MS = 8_000.0  # longest pause of evictions after unclaimed slots
 ADDRESS_WINDOW_MS = 10_000.0  # an address without a connection is remembered for one to two windows
 PRESSURE_OVER_AFTER_MS = 5_000.0  # connection pressure ends after this time without a close because of it
 MAX_TIME_WITHOUT_CAPACITY_MS = MIN_IDLE_AGE_MS + CLAIM_WINDOW_MS + 2 * REVIEW_INTERVAL_MS
--- a/rosepick/net/capture_output.py
+++ b/rosepick/net/capture_output.py
@@ -30,7 +30,7 @@
 # rest remains for log lines.
 MAX_UNREAD_BYTES = 4 * MAX_PIPE_WRITE_BYTES
 MIN_PAUSE_MS = 1.0  # pause between steps; doubles while nothing can be written
-MAX_PAUSE_MS = 250.0  # upper bound of that pause
+MAX_PAUSE_MS = 250.0  # longest pause between steps
 FLUSH_INTERVAL_MS = 250.0  # interval of the flushes to the capture files
 _FILE_NAME = re.compile(r"capture-([0-9]{8})\.log")
 
--- a/rosepick/net/listen_socket.py
+++ b/rosepick/net/listen_socket.py
@@ -9,7 +9,7 @@
 from .tcp_stream import address_family
 
 ADDRESS_IN_USE_TIMEOUT_S = 5.0  # how long `bind` retries while the address is in use
-ADDRESS_IN_USE_RETRY_S = 0.05  # pause between these retries
+ADDRESS_IN_USE_RETRY_S = 0.05  # pause between two attempts to bind
 
 
 def listen(address: tuple[str, int], backlog: int) -> socket.socket:
--- a/rosepick/net/upstream_pool.py
+++ b/rosepick/net/upstream_pool.py
@@ -25,8 +25,8 @@
 logger = logging.getLogger(__name__)
 IDLE_TIMEOUT_FRACTION = 0.7  # maximum keep-alive time, as a fraction of an upstream's idle timeout
 SWEEP_INTERVAL_MS = 500.0  # maximum interval of the checks of idle connections
-MIN_SWEEP_INTERVAL_MS = 50.0  # minimum interval of these checks
-SWEEP_FRACTION = 0.25  # interval of these checks, as a fraction of the shortest keep-alive time
+MIN_SWEEP_INTERVAL_MS = 50.0  # minimum interval of the checks of idle connections
+SWEEP_FRACTION = 0.25  # interval of the checks, as a fraction of the shortest keep-alive time
 # Time without progress after which a partial response is malformed, as a fraction of the shortest objective.
 STALL_FRACTION_OF_OBJECTIVE = 0.2
 EARLY_CLOSE_MS = 100.0  # an upstream that closes an idle connection sooner does not support keep-alive
@@ -194,9 +194,8 @@
         for connection in self.idle.get(endpoint_id, [])[::-1]:
             if now - connection.idle_since < self.reuse_delay_ms:
                 continue
-            if (
-                connection.stream.has_nothing_to_read()
-            ):  # neither closed nor unsolicited data, as far as known
+            # Usable as far as known: the upstream has neither closed it nor sent unsolicited data.
+            if connection.stream.has_nothing_to_read():
                 self.remove_idle(connection)
                 return connection
             self.record_early_close(connection)
