--- a/rosepick/consensus/__init__.py
+++ b/rosepick/consensus/__init__.py
@@ -1,4 +1,4 @@
-"""Named registers replicated by a quorum of acceptors (CASPaxos): messages and state machines on both sides.
+"""Replicates named registers on a quorum of acceptors (CASPaxos): messages, acceptor and proposer.
 
 Nothing in this package does I/O or reads a clock; `rosepick.coordination` drives it.
 """
--- a/rosepick/consensus/acceptor.py
+++ b/rosepick/consensus/acceptor.py
@@ -1,12 +1,14 @@
-"""The acceptor of one replica: CASPaxos (Rystsov 2018) for each register, and the epochs of its quorum.
+"""The acceptor of one replica: runs CASPaxos (Rystsov 2018) for each register, and the epochs of its quorum.
 
-`Acceptor.handle` returns a reply, and what has to be stored durably before that reply is sent. The
-acceptor itself does no I/O and reads no clock.
+`Acceptor.handle` returns a reply and the changes that must be durable before that reply is sent. The
+acceptor does no I/O and reads no clock.
 
-Two guards keep a storage from voting twice. Its identity is part of the quorum, so an emptied folder,
-which has a new identity, does not vote at all. And it has to announce its count of starts to other
-replicas before it votes: they know of a later start if the folder was rolled back to an older copy (the
-restart check).
+Two rules keep a replica from voting on lost or outdated state:
+
+- The identity of its storage is part of the quorum. An emptied folder gets a new identity, so it does not
+  vote.
+- The replica announces its start count to the other replicas before it votes (the restart check). If its
+  folder was rolled back to an older copy, the others know of a later start and it does not vote.
 """
 
 from __future__ import annotations
@@ -17,11 +19,12 @@
 from . import messages as m
 from .messages import NO_BALLOT, SUCCESSOR_KEY, Quorum, RefusalReason, RegisterState
 
-MAX_KNOWN_STORAGES = 256  # storages whose starts are remembered: each replaced replica leaves one
+# Limit of `AcceptorState.known_starts`: each replaced replica leaves the entry of its old storage behind.
+MAX_KNOWN_STORAGES = 256
 
 
 class StorageStart(NamedTuple):
-    """The latest start of a storage that another replica has announced."""
+    """Identifies the latest start that the replica with a given storage has announced."""
 
     start_count: int
     run_id: str
@@ -32,7 +35,7 @@
 
 @dataclass(slots=True)
 class AcceptorState:
-    """The durable state of an acceptor; `start_count` includes the present start."""
+    """Holds the durable state of an acceptor; `start_count` includes the current start."""
 
     storage_id: str
     start_count: int = 1
@@ -44,11 +47,11 @@
 
 @dataclass(slots=True)
 class StateChanges:
-    """The part of the state that has to be stored before a reply is sent; false if there is none."""
+    """Lists the state that must be stored before a reply is sent; it is false if there is none."""
 
     register_states: dict[str, RegisterState] = field(default_factory=dict)
     known_starts: dict[str, StorageStart] = field(default_factory=dict)
-    epoch_installed: bool = False  # quorum, seal and all registers are replaced
+    epoch_installed: bool = False  # the quorum, the seal and all registers are replaced
     epoch_sealed: bool = False
 
     def __bool__(self) -> bool:
@@ -56,20 +59,20 @@
 
 
 class AcceptorResult(NamedTuple):
-    """The reply to a request, and what has to be stored before the reply is sent."""
+    """Holds the reply to a request and the changes that must be stored before the reply is sent."""
 
     reply: m.QuorumReply
     changes: StateChanges
 
 
 class Acceptor:
-    """Answers the requests of one replica from its durable state. `run_id` is drawn anew at each start."""
+    """Answers requests to one replica from its durable state; `run_id` is drawn at random at each start."""
 
     def __init__(self, name: str, state: AcceptorState, run_id: str) -> None:
         self.name = name
         self.state = state
         self.run_id = run_id
-        self.is_stale_copy = False  # others know of a later start: this storage was rolled back
+        self.is_stale_copy = False  # the storage was rolled back: another replica knows of a later start
         self._acknowledged_by: set[str] = set()  # storages that know of this start, and of no later one
         self.is_voting = self._has_enough_acknowledgements()
 
@@ -81,7 +84,7 @@
         return [member for member in self.state.quorum.members if member.storage_id != self.state.storage_id]
 
     def _has_enough_acknowledgements(self, wait_for_all: bool = False) -> bool:
-        """Whether the members that know of this start make a majority together with this replica."""
+        """Return whether enough other members know of this start: all, or a majority with this replica."""
         if self.state.quorum is None or self.is_stale_copy:
             return False
         others = self._other_members()
@@ -90,7 +93,7 @@
         return len(acknowledged) >= required
 
     def make_restart_check(self, request_id: int) -> m.RestartCheckRequest | None:
-        """The announcement of this start, for all other members; None before the first epoch."""
+        """Return the announcement of this start to all other members; None before the first epoch."""
         quorum = self.state.quorum
         if quorum is None:
             return None
@@ -104,14 +107,15 @@
         )
 
     def handle_restart_check_reply(self, reply: m.RestartCheckReply, wait_for_all: bool) -> StateChanges:
-        """Take another replica's reply to the announcement.
+        """Record another replica's reply to the announcement of this start.
 
         Args:
             reply: The reply.
-            wait_for_all: Vote only when all other members have replied, not just enough for a majority.
+            wait_for_all: Whether to vote only once all other members have replied; otherwise, the replies
+                of a majority (with this replica) are enough.
 
         Returns:
-            What has to be stored before this replica votes in an epoch that the reply has brought.
+            The changes to store before this replica votes, if the reply contained a later epoch.
         """
         changes = StateChanges()
         if reply.start_count > self.state.start_count or (
@@ -127,7 +131,7 @@
         return changes
 
     def update_voting(self, wait_for_all: bool) -> None:
-        """Start to vote if enough other members know of this start; a replica that votes goes on voting."""
+        """Start voting if enough other members know of this start; a voting replica continues to vote."""
         self.is_voting = self.is_voting or self._has_enough_acknowledgements(wait_for_all)
 
     def _handle_restart_check(self, request: m.RestartCheckRequest, changes: StateChanges) -> m.QuorumReply:
@@ -137,9 +141,9 @@
         missed_states: dict[str, RegisterState] = {}
         if quorum is not None and quorum.fleet_id == request.fleet_id:
             self._record_start(request, known, changes)
-            # a sealed replica helps too: otherwise the sender might never come to the next epoch
+            # A sealed replica does this too: otherwise the sender might never reach the next epoch.
             if self.is_voting and request.epoch < quorum.epoch and quorum.has_storage(request.storage_id):
-                # as if the messages of this epoch had only now come through to the sender
+                # This is safe: it is as if the messages of this epoch had reached the sender only now.
                 missed_quorum = quorum
                 missed_states = dict(self.state.register_states)
         return m.RestartCheckReply(
@@ -154,7 +158,7 @@
     def _record_start(
         self, request: m.RestartCheckRequest, known: StorageStart, changes: StateChanges
     ) -> None:
-        """Remember an announced start if it is later than the known one; of a new storage up to the limit."""
+        """Record an announced start that is later than the known one; a new storage only up to the limit."""
         is_known_storage = known.start_count > 0
         if not is_known_storage and len(self.state.known_starts) >= MAX_KNOWN_STORAGES:
             return
@@ -166,7 +170,7 @@
     # -- requests
 
     def handle(self, request: m.QuorumRequest, uptime_s: float = 0.0) -> AcceptorResult:
-        """Answer a request; the changes have to be stored before the reply is sent."""
+        """Handle a request; the returned changes must be stored before the reply is sent."""
         changes = StateChanges()
         match request:
             case m.StatusRequest():
@@ -175,7 +179,7 @@
                 return AcceptorResult(self._handle_restart_check(request, changes), changes)
             case m.InstallEpochRequest():
                 return AcceptorResult(self._handle_install(request, changes), changes)
-        refusal = self._refusal(request)
+        refusal = self._refusal_reply(request)
         if refusal is not None:
             return AcceptorResult(refusal, changes)
         return AcceptorResult(self._handle_epoch_request(request, changes), changes)
@@ -183,26 +187,26 @@
     def _refuse(self, request: m.QuorumMessage, reason: RefusalReason) -> m.UnavailableReply:
         return m.UnavailableReply(request.request_id, self.state.storage_id, reason.value)
 
-    def _wrong_epoch(self, request: m.QuorumMessage) -> m.WrongEpochReply:
+    def _wrong_epoch_reply(self, request: m.QuorumMessage) -> m.WrongEpochReply:
         return m.WrongEpochReply(
             request.request_id, self.state.storage_id, self.state.quorum, self.state.is_sealed
         )
 
-    def _refusal(self, request: m.EpochRequest) -> m.QuorumReply | None:
-        """The reply to a request that this replica may not vote on; None if it may."""
+    def _refusal_reply(self, request: m.EpochRequest) -> m.QuorumReply | None:
+        """Return the reply that refuses a request; None if this replica may vote on the request."""
         quorum = self.state.quorum
         if quorum is not None and request.fleet_id != quorum.fleet_id:
             return self._refuse(request, RefusalReason.OTHER_FLEET)
         if not self.is_voting:
             return self._refuse(request, self._not_voting_reason())
         if quorum is None or request.epoch != quorum.epoch:
-            return self._wrong_epoch(request)
+            return self._wrong_epoch_reply(request)
         is_for_successor = (
             isinstance(request, m.PrepareRequest | m.AcceptRequest | m.ReadRequest)
             and request.key == SUCCESSOR_KEY
         )
         if is_for_successor != self.state.is_sealed and not isinstance(request, m.SealEpochRequest):
-            return self._wrong_epoch(request)
+            return self._wrong_epoch_reply(request)
         return None
 
     def _not_voting_reason(self) -> RefusalReason:
@@ -259,12 +263,12 @@
         current = self._register_state(request.key)
         if request.ballot < current.promised_ballot:
             return m.BallotConflictReply(request.request_id, self.state.storage_id, current.promised_ballot)
-        # the successor's value holds all registers: only the size of a frame limits it
+        # the successor's value contains all registers, so it is limited only by the size of a frame
         is_too_large = len(request.register.value) > m.MAX_VALUE_BYTES and request.key != SUCCESSOR_KEY
         if len(request.key) > m.MAX_KEY_LENGTH or is_too_large:
             return self._refuse(request, RefusalReason.TOO_LARGE)
         if request.ballot == current.accepted_ballot and request.register != current.register:
-            # guards against a proposer that uses a ballot for two values: neither may be chosen by it
+            # A proposer has used one ballot for two values. The ballot must not choose the second one.
             return self._refuse(request, RefusalReason.BALLOT_REUSED)
         if request.ballot > current.accepted_ballot:
             accepted = RegisterState(request.ballot, request.ballot, request.register)
@@ -296,16 +300,16 @@
         if not request.quorum.has_member(self.name, self.state.storage_id):
             return self._refuse(request, RefusalReason.NOT_A_MEMBER)
         if current is not None and request.quorum.epoch < current.epoch:
-            return self._wrong_epoch(request)
+            return self._wrong_epoch_reply(request)
         if current is None:
-            self.is_voting = True  # nobody has relied on this storage yet
+            self.is_voting = True  # no quorum has counted a vote of this storage yet
         self._install_epoch(request.quorum, request.register_states, changes)
         return m.AcceptReply(request.request_id, self.state.storage_id)
 
     def _install_epoch(
         self, quorum: Quorum, register_states: dict[str, RegisterState], changes: StateChanges
     ) -> None:
-        """Replace quorum and registers by those of a later epoch; nothing happens if it is not later."""
+        """Replace the quorum and the registers by those of an epoch, if it is later than the current one."""
         current = self.state.quorum
         if current is None or quorum.epoch > current.epoch:
             self.state.quorum = quorum
@@ -334,9 +338,10 @@
 
 
 def merge_register_states(sealed_states: list[dict[str, RegisterState]]) -> dict[str, RegisterState]:
-    """Merge what a majority has stored into what may have been chosen: the highest ballot of each register.
+    """Merge the states of a sealed majority: for each register, take the value with the highest ballot.
 
-    Promises end with the epoch, so each register starts with the ballot that its value was accepted under.
+    Any value that was chosen in the epoch is among them. Promises end with the epoch, so each register starts
+    with the ballot under which its value was accepted.
     """
     merged: dict[str, RegisterState] = {}
     for register_states in sealed_states:
--- a/rosepick/consensus/codec.py
+++ b/rosepick/consensus/codec.py
@@ -1,7 +1,7 @@
-"""Frames of the quorum protocol: magic bytes, version, length, keyed digest (HMAC, RFC 2104), one message.
+"""Encodes frames of the quorum protocol: magic bytes, version, length, HMAC digest (RFC 2104) and message.
 
-A peer that sends a frame that is damaged, too large, signed with another key or of a newer version is not
-read any further.
+After a frame that is damaged, too large, signed with another key or of a newer version, nothing more is read
+from that peer.
 """
 
 from __future__ import annotations
@@ -20,7 +20,8 @@
 DIGEST_BYTES = 16
 FRAME_HEADER = struct.Struct(f">2sBxI{DIGEST_BYTES}s")
 _MAGIC = b"rq"
-_KEYLESS_DIGEST_KEY = b"rosepick without a key"  # the digest then detects damage, and authenticates nobody
+# HMAC key if no key is configured: the digest then detects damage, but does not authenticate the peer.
+_UNKEYED_DIGEST_KEY = b"rosepick without a key"
 MessageT = TypeVar("MessageT")
 _encoder = msgspec.msgpack.Encoder()
 _request_decoder: msgspec.msgpack.Decoder[QuorumRequest] = msgspec.msgpack.Decoder(QuorumRequest)
@@ -28,17 +29,17 @@
 
 
 class DecodeFailure(StrEnum):
-    """What is wrong with a frame."""
+    """Says why a frame cannot be decoded."""
 
-    FOREIGN = "foreign"  # it does not start with the magic bytes
+    FOREIGN = "foreign"  # the frame does not start with the magic bytes
     NEWER_VERSION = "newer"
     OVERSIZED = "oversized"
-    DAMAGED = "damaged"  # the digest does not match: changed on the way, or signed with another key
-    MALFORMED = "malformed"  # the frame is whole, and holds no message that is expected there
+    DAMAGED = "damaged"  # the digest does not match: the frame was altered, or signed with another key
+    MALFORMED = "malformed"  # the frame is intact but does not contain an expected message
 
 
 class DecodeError(ValueError):
-    """A frame cannot be decoded. `reason` is the one word of the `DecodeFailure`."""
+    """Raised if a frame cannot be decoded; `reason` is the value of the `DecodeFailure`."""
 
     def __init__(self, failure: DecodeFailure, detail: str) -> None:
         super().__init__(f"{failure.value} frame: {detail}")
@@ -46,28 +47,28 @@
 
 
 def _digest(key: bytes, body: bytes | memoryview) -> bytes:
-    return hmac.digest(key or _KEYLESS_DIGEST_KEY, body, "sha256")[:DIGEST_BYTES]
+    return hmac.digest(key or _UNKEYED_DIGEST_KEY, body, "sha256")[:DIGEST_BYTES]
 
 
 def encode_frame(message: QuorumRequest | QuorumReply, key: bytes = b"") -> bytes:
-    """Encode a message as a frame, signed with the key."""
+    """Encode a message as a frame that is signed with `key`."""
     body = _encoder.encode(message)
     return FRAME_HEADER.pack(_MAGIC, WIRE_VERSION, len(body), _digest(key, body)) + body
 
 
 class FrameDecoder:
-    """Splits a byte stream into frames. After a `DecodeError` the stream cannot be read any further."""
+    """Splits a byte stream into frames; after a `DecodeError`, the rest of the stream cannot be decoded."""
 
     def __init__(self, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
         self._buffer = bytearray()
         self._max_message_bytes = max_message_bytes
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add received bytes and return the frames that are complete now, with their headers.
+        """Add received bytes and return the frames that are now complete, with their headers.
 
         Raises:
-            DecodeError: A header is not one of this protocol, of a newer version, or announces too many
-            bytes.
+            DecodeError: A header is not of this protocol, has a newer version, or announces a message
+                larger than `max_message_bytes`.
         """
         self._buffer += data
         frames = []
@@ -80,23 +81,26 @@
         return frames
 
     def _read_frame_size(self) -> int:
-        """The size in bytes of the frame that the buffer starts with, header included."""
+        """Return the size in bytes of the first frame in the buffer, including its header."""
         magic, version, length, _ = FRAME_HEADER.unpack_from(self._buffer)
         if magic != _MAGIC:
-            raise DecodeError(DecodeFailure.FOREIGN, "the peer does not speak the quorum protocol")
+            raise DecodeError(
+                DecodeFailure.FOREIGN, "it does not start with the magic bytes of the quorum protocol"
+            )
         if version > WIRE_VERSION:
             raise DecodeError(
                 DecodeFailure.NEWER_VERSION,
-                f"wire version {version}, and {WIRE_VERSION} is the latest known here: upgrade this process",
+                f"wire version {version} is newer than the supported {WIRE_VERSION}; upgrade this process",
             )
         if length > self._max_message_bytes:
             raise DecodeError(
-                DecodeFailure.OVERSIZED, f"{length} bytes announced, {self._max_message_bytes} allowed"
+                DecodeFailure.OVERSIZED,
+                f"it announces {length} bytes; the limit is {self._max_message_bytes}",
             )
         return FRAME_HEADER.size + int(length)
 
     def has_partial_frame(self) -> bool:
-        """Whether the stream so far ends within a frame."""
+        """Return whether the data fed so far ends within a frame."""
         return bool(self._buffer)
 
 
@@ -104,7 +108,8 @@
     body = memoryview(frame)[FRAME_HEADER.size :]
     if not hmac.compare_digest(FRAME_HEADER.unpack_from(frame)[3], _digest(key, body)):
         raise DecodeError(
-            DecodeFailure.DAMAGED, "its digest does not match; compare the key files of both processes"
+            DecodeFailure.DAMAGED,
+            "its digest does not match; check that both processes use the same key file",
         )
     return body
 
@@ -115,7 +120,7 @@
         return decoder.decode(body)
     except msgspec.MsgspecError as error:
         raise DecodeError(
-            DecodeFailure.MALFORMED, f"it holds no message that is expected here: {error}"
+            DecodeFailure.MALFORMED, f"it does not contain an expected message: {error}"
         ) from error
 
 
@@ -123,7 +128,7 @@
     """Decode the request in a frame.
 
     Raises:
-        DecodeError: The frame is damaged, was signed with another key, or holds no request.
+        DecodeError: The frame is damaged, signed with another key, or does not contain a request.
     """
     return _decode(_request_decoder, frame, key)
 
@@ -132,6 +137,6 @@
     """Decode the reply in a frame.
 
     Raises:
-        DecodeError: The frame is damaged, was signed with another key, or holds no reply.
+        DecodeError: The frame is damaged, signed with another key, or does not contain a reply.
     """
     return _decode(_reply_decoder, frame, key)
--- a/rosepick/consensus/messages.py
+++ b/rosepick/consensus/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the replicas of a quorum and their clients, and the values that a replica stores.
+"""Defines the messages between the replicas of a quorum and their clients, and the values replicas store.
 
-Messages are encoded as arrays that start with a tag, so the positions of fields are the wire form: a
-field may be added at the end only. The `request_id` of a reply repeats that of its request.
+A message is encoded as an array that starts with its tag. Fields are identified by position, so a field may
+be added only at the end. A reply has the `request_id` of its request.
 """
 
 from __future__ import annotations
@@ -13,32 +13,32 @@
 
 
 class Ballot(NamedTuple):
-    """The number of a round of voting; ballots are ordered by their round first."""
+    """Identifies a round of voting; ballots are ordered by `round`, then by `proposer_id`."""
 
     round: int
-    proposer_id: int  # differs between any two proposer processes, and between two starts of one
+    proposer_id: int  # unique to one run of one proposer process
 
 
 NO_BALLOT = Ballot(0, 0)
 MAX_KEY_LENGTH = 200  # characters
 MAX_VALUE_BYTES = 64 * 1024
 MAX_REGISTERS = 4096
-QUORUM_SIZES = (1, 3, 5, 7)  # how many replicas a quorum may be founded with
-# the register that holds the quorum of the next epoch; it is the only one that a sealed replica still serves
+QUORUM_SIZES = (1, 3, 5, 7)  # allowed numbers of replicas when a quorum is founded
+# Key of the register that holds the quorum of the next epoch. A sealed replica serves only this register.
 SUCCESSOR_KEY = "\0successor"
 
 
 class QuorumMessage(msgspec.Struct, frozen=True, array_like=True, tag_field="t"):
-    """The base of all messages: they start with the number of the request."""
+    """Is the base of all messages, which start with the id of the request."""
 
     request_id: int
 
 
 class Register(msgspec.Struct, frozen=True, array_like=True):
-    """The value of a register, with its place in the register's one chain of versions.
+    """Holds the value of a register and its place in the register's linear history.
 
     `version` grows by one with each change. `change_id` identifies the change that wrote the value, and
-    `parent_change_id` the one that wrote the value before it.
+    `parent_change_id` identifies the change that wrote the previous value.
     """
 
     version: int = 0
@@ -48,7 +48,7 @@
 
 
 class RegisterState(msgspec.Struct, frozen=True, array_like=True):
-    """What an acceptor has promised and accepted for one register."""
+    """Holds the ballots that an acceptor has promised and accepted for a register, and its value."""
 
     promised_ballot: Ballot = NO_BALLOT
     accepted_ballot: Ballot = NO_BALLOT
@@ -56,16 +56,16 @@
 
 
 class QuorumMember(msgspec.Struct, frozen=True, array_like=True):
-    """A replica of a quorum: its name, and the identity of its storage."""
+    """Identifies a replica of a quorum by its name and by the identity of its storage."""
 
     name: str
     storage_id: str
 
 
 class Quorum(msgspec.Struct, frozen=True, array_like=True):
-    """The replicas that vote.
+    """Lists the replicas that vote in one epoch.
 
-    `fleet_id` tells two installations apart; `epoch` grows by one with each reconfiguration.
+    `fleet_id` identifies the installation; `epoch` grows by one with each reconfiguration.
     """
 
     fleet_id: str
@@ -74,19 +74,19 @@
 
     @property
     def majority(self) -> int:
-        """The number of votes that decide."""
+        """Return the number of votes that make a majority."""
         return len(self.members) // 2 + 1
 
     def has_member(self, name: str, storage_id: str) -> bool:
-        """Whether the replica of that name votes with that storage."""
+        """Return whether the replica `name` votes with the storage `storage_id`."""
         return QuorumMember(name, storage_id) in self.members
 
     def has_storage(self, storage_id: str) -> bool:
-        """Whether a replica votes with that storage, whatever its name."""
+        """Return whether any replica votes with the storage `storage_id`."""
         return any(member.storage_id == storage_id for member in self.members)
 
     def next_epoch(self, members: tuple[QuorumMember, ...]) -> Quorum:
-        """The quorum of the next epoch, with these members."""
+        """Return the quorum of the next epoch, with these members."""
         return Quorum(self.fleet_id, self.epoch + 1, members)
 
 
@@ -94,14 +94,14 @@
 
 
 class EpochRequest(QuorumMessage, frozen=True, array_like=True):
-    """The base of requests to the replicas of one epoch's quorum."""
+    """Is the base of requests that only the quorum of one epoch may answer."""
 
     fleet_id: str
     epoch: int
 
 
 class PrepareRequest(EpochRequest, frozen=True, array_like=True, tag=1):
-    """Asks for a promise to accept nothing below this ballot, and for the accepted value."""
+    """Asks for a promise to accept no ballot below this one, and for the accepted value."""
 
     key: str
     ballot: Ballot
@@ -116,32 +116,32 @@
 
 
 class ReadRequest(EpochRequest, frozen=True, array_like=True, tag=3):
-    """Asks for the accepted value, without a promise."""
+    """Asks for the accepted value without a promise."""
 
     key: str
 
 
 class ListKeysRequest(EpochRequest, frozen=True, array_like=True, tag=4):
-    """Asks for the keys with a prefix."""
+    """Asks for all keys that start with a prefix."""
 
     key_prefix: str
 
 
 class SealEpochRequest(EpochRequest, frozen=True, array_like=True, tag=5):
-    """Asks to stop voting in the epoch, except on its successor, and for all register states."""
+    """Asks to stop voting in the epoch, except on the successor quorum, and for all register states."""
 
 
 class InstallEpochRequest(QuorumMessage, frozen=True, array_like=True, tag=6):
-    """Asks to start an epoch with these registers."""
+    """Asks to start an epoch with the given quorum and registers."""
 
     quorum: Quorum
     register_states: dict[str, RegisterState]
 
 
 class RestartCheckRequest(QuorumMessage, frozen=True, array_like=True, tag=7):
-    """Announces to another replica how often the sender's storage has been started.
+    """Announces the start count of the sender's storage to another replica.
 
-    `run_id` is drawn anew at each start; `epoch` is the latest that the sender has installed.
+    `run_id` is drawn at random at each start; `epoch` is the latest epoch that the sender has installed.
     """
 
     fleet_id: str
@@ -159,58 +159,58 @@
 
 
 class AcceptorReply(QuorumMessage, frozen=True, array_like=True):
-    """The base of replies: they name the storage that the vote rests on."""
+    """Is the base of replies, which identify the storage of the replica that votes."""
 
     storage_id: str
 
 
 class PromiseReply(AcceptorReply, frozen=True, array_like=True, tag=21):
-    """The promise is stored durably; with the value accepted so far."""
+    """Confirms that the promise is stored durably, and returns the value accepted so far."""
 
     accepted_ballot: Ballot
     register: Register
 
 
 class AcceptReply(AcceptorReply, frozen=True, array_like=True, tag=22):
-    """The value is stored durably, or the epoch is installed."""
+    """Confirms that the value is stored durably or the epoch is installed."""
 
 
 class ReadReply(AcceptorReply, frozen=True, array_like=True, tag=23):
-    """The accepted value."""
+    """Returns the accepted value and its ballot."""
 
     accepted_ballot: Ballot
     register: Register
 
 
 class ListKeysReply(AcceptorReply, frozen=True, array_like=True, tag=24):
-    """The keys with the requested prefix."""
+    """Returns the keys that start with the requested prefix."""
 
     keys: tuple[str, ...]
 
 
 class SealEpochReply(AcceptorReply, frozen=True, array_like=True, tag=25):
-    """The epoch is sealed; with all register states of this replica."""
+    """Confirms that the epoch is sealed, and returns all register states of the replica."""
 
     register_states: dict[str, RegisterState]
 
 
 class BallotConflictReply(AcceptorReply, frozen=True, array_like=True, tag=26):
-    """The acceptor has promised a higher ballot."""
+    """Rejects a ballot because the acceptor has promised a higher one."""
 
     promised_ballot: Ballot
 
 
 class WrongEpochReply(AcceptorReply, frozen=True, array_like=True, tag=27):
-    """The replica does not vote on this in that epoch; with its own quorum, and whether that is sealed."""
+    """Rejects a request of another epoch or seal state, and returns the quorum that the replica has."""
 
     quorum: Quorum | None
     is_sealed: bool
 
 
 class RestartCheckReply(AcceptorReply, frozen=True, array_like=True, tag=28):
-    """How often the sender's storage had been started, as far as this replica knew before the request.
+    """Returns the latest start of the sender's storage that this replica knew before the request.
 
-    If the sender has missed an epoch, the reply brings the later quorum with its registers.
+    If the sender has missed an epoch, the reply contains the later quorum and its registers.
     """
 
     start_count: int
@@ -220,7 +220,7 @@
 
 
 class StatusReply(AcceptorReply, frozen=True, array_like=True, tag=29):
-    """The status of a replica."""
+    """Returns the status of a replica."""
 
     name: str
     start_count: int
@@ -232,13 +232,13 @@
 
 
 class UnavailableReply(AcceptorReply, frozen=True, array_like=True, tag=30):
-    """The request was refused, and nothing has changed; `reason` is the text of a `RefusalReason`."""
+    """Refuses a request without any change; `reason` is the value of a `RefusalReason`."""
 
     reason: str
 
 
 class RefusalReason(StrEnum):
-    """Why an acceptor refuses a request. The texts are sent, and later versions may send others."""
+    """Says why an acceptor refuses a request; the values are sent, and later versions may send others."""
 
     OTHER_FLEET = "another fleet"
     STALE_COPY = "an older copy"  # the storage was rolled back to an earlier state
--- a/rosepick/consensus/proposer.py
+++ b/rosepick/consensus/proposer.py
@@ -1,10 +1,11 @@
-"""The proposer of CASPaxos (Rystsov 2018): one read or one change of a register.
-
-A change is a function of the register's present value. It returns the next value, or raises
-`ChangeRejectedError`. Each value has a version, one above that of the value it was made from, and the id
-of its change: there is one chain of versions. So a client that retries after a reply was lost can tell
-whether its change was made: the register holds its change id; or that it never will be: another change
-has taken that version. Where the chain has moved on further, the outcome is unknown.
+"""The proposer of CASPaxos (Rystsov 2018): runs one read or one change of a register.
+
+A change is a function of the register's current value. It returns the next value, or raises
+`ChangeRejectedError`. Each value has the id of its change and a version, which is one above the version of
+the value that it was computed from, so the versions are a linear history. A client that retries after a lost
+reply uses this to find the outcome of its change. If the register holds its change id, the change was made.
+If another change has the same version, the change was not made and never will be. If the register has a later
+version, the outcome is unknown.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class OutgoingRequest(NamedTuple):
-    """A request, and the name of the replica that it goes to."""
+    """Holds a request and the name of the replica that it is sent to."""
 
     replica: str
     request: m.QuorumRequest
@@ -32,38 +33,38 @@
 
 
 class BallotGenerator:
-    """Generates the ballots of one client: none is used twice, whatever the operation."""
+    """Generates the ballots of one client; no two of its operations use the same ballot."""
 
     def __init__(self, proposer_id: int) -> None:
         self.proposer_id = proposer_id
         self.last_round = 0
 
     def next_ballot(self) -> Ballot:
-        """A ballot that this client has not used."""
+        """Return a ballot that this client has not used."""
         self.last_round += 1
         return Ballot(self.last_round, self.proposer_id)
 
     def observe(self, ballot: Ballot) -> None:
-        """Take note of another client's ballot: the next one will be above it."""
+        """Record another client's ballot, so that the next ballot is above it."""
         self.last_round = max(self.last_round, ballot.round)
 
 
 class ChangeRejectedError(Exception):
-    """A change does not apply to the present value; the register stays as it is."""
+    """Raised if a change does not apply to the current value; the register is not changed."""
 
 
 class OutcomeKind(Enum):
-    """How an operation has ended."""
+    """Says how an operation has ended."""
 
-    COMMITTED = "done"  # the register holds the value of the change
+    COMMITTED = "done"  # the change was made
     UNCHANGED = "read"  # the register was read, or the change was rejected
-    UNKNOWN = "unknown"  # the change may have been made, and others after it
-    FAILED = "failed"  # no majority was reached, and nothing has changed
+    UNKNOWN = "unknown"  # the change may have been made, and later changes after it
+    FAILED = "failed"  # no majority was reached, and nothing was changed
 
 
 @dataclass(frozen=True, slots=True)
 class OperationOutcome:
-    """How an operation has ended, with the register as it is then; `reason` says why one has failed."""
+    """Holds the outcome of an operation and the register after it; `reason` explains a failure."""
 
     kind: OutcomeKind
     register: Register = EMPTY_REGISTER
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisterCommand:
-    """What a proposer has to do: change the register of a key, or read it if `change` is None."""
+    """Describes an operation: a change of the register at `key`, or a read if `change` is None."""
 
     key: str
     change: RegisterChange | None
@@ -80,7 +81,7 @@
 
 
 class ProposerPhase(Enum):
-    """The replies that a proposer waits for."""
+    """Says which replies a proposer waits for."""
 
     READ = "look"
     PREPARE = "prepare"
@@ -88,7 +89,7 @@
 
 
 class Vote(NamedTuple):
-    """What a replica has accepted, as it said in the present phase."""
+    """Holds the value that a replica reported as accepted in the current phase, and its ballot."""
 
     accepted_ballot: Ballot
     register: Register
@@ -97,9 +98,9 @@
 class Proposer:
     """Runs a command on a quorum until `outcome` is set.
 
-    The driver sends what `start` returns, passes replies to `handle_reply` and sends what that returns.
-    It calls `retry` when replies are missing or another proposer has come first, and `give_up` when it
-    waits no longer.
+    The driver sends the requests that `start` returns, passes each reply to `handle_reply` and sends the
+    requests that it returns. It calls `retry` when replies are missing or another proposer has a higher
+    ballot, and `give_up` when it stops waiting.
     """
 
     def __init__(
@@ -116,40 +117,40 @@
         self._ballots = ballots
         self._next_request_id = next_request_id
         self.outcome: OperationOutcome | None = None
-        self.is_preempted = False  # a majority is no longer possible in this round: back off, then `retry`
-        self.wrong_epoch_reply: m.WrongEpochReply | None = None  # set if the quorum is another one by now
+        self.is_preempted = False  # no majority is possible in this round: the driver backs off, then retries
+        self.wrong_epoch_reply: m.WrongEpochReply | None = None  # set if a replica has another quorum
         self.refusal_reasons: set[str] = set()  # why replicas did not vote
         self._current_ballot = NO_BALLOT
-        self._last_proposed: Register | None = None  # the value of the last accept requests for this change
+        self._last_proposed: Register | None = None  # the value of the latest accept requests for this change
         self._phase = ProposerPhase.READ if command.change is None else ProposerPhase.PREPARE
-        self._request_id = 0  # of all requests of the present phase
-        self._votes: dict[str, Vote] = {}  # of the present phase, by replica
-        self._opponents: set[str] = set()  # replicas that do not vote for the present round
+        self._request_id = 0  # id of all requests of the current phase
+        self._votes: dict[str, Vote] = {}  # votes of the current phase, by replica
+        self._opponents: set[str] = set()  # replicas that refuse the current round
         self._accept_register = EMPTY_REGISTER
 
     # -- requests
 
     def start(self) -> OutgoingRequests:
-        """The first requests."""
+        """Return the first requests."""
         if self._phase is ProposerPhase.READ:
             return self._send_reads()
         return self._send_prepares()
 
     def retry(self) -> OutgoingRequests:
-        """The requests of a new round with a higher ballot."""
+        """Return the requests of a new round with a higher ballot."""
         return self._send_prepares()
 
     def switch_quorum(self, quorum: Quorum) -> OutgoingRequests:
-        """Continue with a later quorum, to which all chosen values were carried over."""
+        """Continue with a later quorum, which has all values chosen earlier; return the requests."""
         self.quorum = quorum
         self.wrong_epoch_reply = None
         return self._send_prepares()
 
     def give_up(self, reason: str = "") -> None:
-        """Set the outcome, as no more replies will be waited for; an outcome that is set stays."""
+        """Stop waiting for replies and set the outcome, unless it is already set."""
         if self.outcome is None:
             kind = OutcomeKind.FAILED if self._last_proposed is None else OutcomeKind.UNKNOWN
-            reasons = reason or ", ".join(sorted(self.refusal_reasons)) or "no majority answers"
+            reasons = reason or ", ".join(sorted(self.refusal_reasons)) or "no reply from a majority"
             self.outcome = OperationOutcome(kind, reason=reasons)
 
     def _broadcast(self, make_request: Callable[[int], m.QuorumRequest]) -> OutgoingRequests:
@@ -190,14 +191,14 @@
     # -- replies
 
     def handle_reply(self, replica: str, reply: m.QuorumReply) -> OutgoingRequests:
-        """Take a replica's reply, and return the requests that follow from it.
+        """Handle a replica's reply and return the next requests.
 
-        Replies to earlier phases, and those that come after the outcome, change nothing.
+        Replies to earlier phases and replies that arrive after the outcome have no effect.
         """
         if reply.request_id != self._request_id:
             return []
         if not self.quorum.has_member(replica, reply.storage_id):
-            self.refusal_reasons.add(f"{replica} has another storage")
+            self.refusal_reasons.add(f"{replica} replied from an unexpected storage")
             return []
         if self.outcome is not None:
             return []
@@ -213,23 +214,23 @@
                 self._finish_accept()
             case m.BallotConflictReply():
                 self._ballots.observe(reply.promised_ballot)
-                self._record_opponent(replica)
+                self._record_refusal(replica)
             case m.WrongEpochReply():
                 self.wrong_epoch_reply = reply
             case m.UnavailableReply():
                 self.refusal_reasons.add(f"{replica}: {reply.reason}")
-                self._record_opponent(replica)
+                self._record_refusal(replica)
         return []
 
-    def _record_opponent(self, replica: str) -> None:
+    def _record_refusal(self, replica: str) -> None:
         self._opponents.add(replica)
         self.is_preempted = len(self.quorum.members) - len(self._opponents) < self.quorum.majority
 
     def _finish_read(self) -> OutgoingRequests:
-        """Finish if a majority has accepted one ballot, or start a round if all replies disagree.
+        """Finish if a majority has accepted one ballot; start a round if all have replied and none has.
 
-        Such a value is chosen, and no later one was chosen before the read began: that would have a
-        majority too, and one of its replicas would have reported it.
+        A value that a majority has accepted is chosen. No later value was chosen before the read began: a
+        majority would have accepted it, and at least one of those replicas would have reported it.
         """
         ballots = [vote.accepted_ballot for vote in self._votes.values()]
         for vote in self._votes.values():
@@ -247,7 +248,7 @@
         latest = max(self._votes.values(), key=lambda vote: vote.accepted_ballot)
         register = latest.register
         if register.change_id == self.change_id:
-            return self._send_accepts(register)  # our own change, accepted by too few: finish it
+            return self._send_accepts(register)  # too few replicas have accepted this change: complete it
         if self._last_proposed is not None and register.version > self._last_proposed.version:
             self.outcome = OperationOutcome(OutcomeKind.UNKNOWN, register)
             return []
@@ -260,17 +261,21 @@
         return self._send_accepts(next_register)
 
     def _next_register(self, register: Register) -> Register:
-        """The register after the change; raises `ChangeRejectedError` for a read too."""
+        """Return the register after the change.
+
+        Raises:
+            ChangeRejectedError: The change does not apply, or the operation is a read.
+        """
         if self._change is None:
             raise ChangeRejectedError
         value = self._change(register)
         return Register(register.version + 1, self.change_id, value, register.change_id)
 
     def _leave_unchanged(self, register: Register, is_chosen: bool) -> OutgoingRequests:
-        """Finish without a change, after having the present value chosen where that is in doubt.
+        """Finish without a change; propose the current value again if it may not be chosen yet.
 
-        That is also done after any accept request of this change: otherwise another proposer could find
-        that value later, and finish it.
+        The current value is also proposed again after any accept request for this change. Otherwise another
+        proposer could find the value of that request later, and complete the change.
         """
         if is_chosen and self._last_proposed is None:
             self.outcome = OperationOutcome(OutcomeKind.UNCHANGED, register)
--- a/rosepick/consensus/reconfiguration.py
+++ b/rosepick/consensus/reconfiguration.py
@@ -1,11 +1,13 @@
-"""Reconfiguration: the step from a quorum to that of the next epoch, in the phases seal, choose and install.
-
-Seal: a majority of the old replicas stops voting in the old epoch, so nothing new can be chosen in it,
-and all that was chosen is among what they have stored. Choose: the new quorum and the registers that it
-starts with are one value, which the sealed replicas choose like that of any register; concurrent
-reconfigurations come to the same one. Install: each new replica starts with these registers. It is the
-stopping of a replicated state machine by an agreed last command (Lamport, Malkhi and Zhou 2010), with
-registers in place of a log.
+"""Reconfiguration: replaces a quorum by the quorum of the next epoch, in three phases.
+
+    SEAL      A majority of the old replicas stops voting in the old epoch. No new value can be chosen in it,
+              and every value that was chosen is among those that this majority has stored.
+    CHOOSE    The new quorum and its initial registers are one value. The sealed replicas choose it like the
+              value of any register, so concurrent reconfigurations agree on one successor.
+    INSTALL   Each new replica starts with these registers.
+
+This is the technique of stopping a replicated state machine by an agreed last command (Lamport, Malkhi and
+Zhou 2010), with registers in place of a log.
 """
 
 from __future__ import annotations
@@ -30,14 +32,14 @@
 
 
 class SuccessorQuorum(msgspec.Struct, frozen=True, array_like=True):
-    """The value that is chosen: the next quorum, and the registers that it starts with."""
+    """Holds the value that is chosen: the next quorum and its initial registers."""
 
     quorum: Quorum
     register_states: dict[str, RegisterState]
 
 
 class ReconfigurationPhase(Enum):
-    """The replies that a reconfiguration waits for."""
+    """Says which replies a reconfiguration waits for."""
 
     SEAL = "seal"
     CHOOSE = "choose"
@@ -46,12 +48,12 @@
 
 
 def check_member_change(old_quorum: Quorum, members: tuple[QuorumMember, ...]) -> str:
-    """Check whether these members may follow a quorum.
+    """Check whether a quorum may be replaced by one with these members.
 
-    One replica may join or leave at a time; one whose storage was replaced does both.
+    At most one replica may join and at most one may leave; a replica with a new storage does both.
 
     Returns:
-        Why they may not, for the operator; an empty text if they may.
+        The reason for the operator why the change is not allowed; empty if it is allowed.
     """
     names = {member.name for member in members}
     storages = {member.storage_id for member in members}
@@ -67,10 +69,10 @@
 
 
 class QuorumReconfiguration:
-    """Leads from a quorum to the next one; driven like a `Proposer`, until `phase` is DONE.
+    """Replaces a quorum by the next one; driven like a `Proposer` until `phase` is DONE.
 
-    `members` is None to finish a reconfiguration that another client may have begun: it installs what was
-    chosen already, or else the same members again.
+    With `members` None it completes a reconfiguration that another client may have begun: it installs the
+    successor that was chosen already, or else a new epoch with the same members.
     """
 
     def __init__(
@@ -88,25 +90,25 @@
         self._next_request_id = next_request_id
         self.phase = ReconfigurationPhase.SEAL
         self.successor: SuccessorQuorum | None = None  # set once it is chosen
-        self.later_quorum: Quorum | None = None  # set if a quorum of a later epoch is installed already
-        self._request_id = 0  # of all requests of the present phase
+        self.later_quorum: Quorum | None = None  # set if a replica has already installed a later epoch
+        self._request_id = 0  # id of all requests of the current phase
         self._sealed_states: dict[str, dict[str, RegisterState]] = {}  # by replica
-        self._proposer: Proposer | None = None  # from the phase CHOOSE on
+        self._proposer: Proposer | None = None  # set in the phase CHOOSE and later
         self._installed_replicas: set[str] = set()
 
     @property
     def is_preempted(self) -> bool:
-        """Whether another client chooses the successor at the same time: back off, then `retry`."""
+        """Return whether another client has a higher ballot: the driver backs off, then calls `retry`."""
         return self._proposer is not None and self._proposer.is_preempted
 
     # -- requests
 
     def start(self) -> OutgoingRequests:
-        """The first requests."""
+        """Return the first requests."""
         return self._send_seals()
 
     def retry(self) -> OutgoingRequests:
-        """The requests of the present phase once more, as replies are missing."""
+        """Return the requests of the current phase again, when replies are missing."""
         match self.phase:
             case ReconfigurationPhase.SEAL:
                 return self._send_seals()
@@ -133,7 +135,7 @@
     # -- replies
 
     def handle_reply(self, replica: str, reply: m.QuorumReply) -> OutgoingRequests:
-        """Take a replica's reply, and return the requests that follow from it."""
+        """Handle a replica's reply and return the next requests."""
         if isinstance(reply, m.WrongEpochReply) and reply.quorum is not None:
             self._observe_quorum(reply.quorum)
             return []
@@ -161,21 +163,21 @@
         return self._proposer.start()
 
     def _successor_proposer(self) -> Proposer:
-        """The proposer that has the successor chosen, from the registers of a sealed majority."""
+        """Return the proposer of the successor, which starts with the registers of a sealed majority."""
         quorum = self.new_quorum or self.old_quorum.next_epoch(self.old_quorum.members)
         register_states = merge_register_states(list(self._sealed_states.values()))
         value = msgspec.msgpack.encode(SuccessorQuorum(quorum, register_states))
 
         def choose_first(register: Register) -> bytes:
             if register.version:
-                raise ChangeRejectedError  # another client's successor was chosen: it is installed
+                raise ChangeRejectedError  # another client's successor was chosen: install that one
             return value
 
         command = RegisterCommand(SUCCESSOR_KEY, choose_first, self._change_id)
         return Proposer(self.old_quorum, command, self._ballots, self._next_request_id)
 
     def _finish_choice(self, proposer: Proposer, requests: OutgoingRequests) -> OutgoingRequests:
-        """Go on to the phase INSTALL if the successor is chosen; else return the proposer's next requests."""
+        """Enter the phase INSTALL if the successor is chosen; else return the proposer's next requests."""
         outcome = proposer.outcome
         if outcome is None or outcome.kind not in (OutcomeKind.COMMITTED, OutcomeKind.UNCHANGED):
             return requests
--- a/rosepick/leases/__init__.py
+++ b/rosepick/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases on tasks of the whole fleet: the record, the client, fencing tokens and the guard that checks them.
+"""Implements fleet-wide leases on tasks: the record, the client, and fencing tokens with their guard.
 
 Nothing in this package does I/O or reads a clock; `rosepick.coordination` drives it.
 """
--- a/rosepick/leases/fencing.py
+++ b/rosepick/leases/fencing.py
@@ -1,43 +1,43 @@
-"""Fencing: a resource refuses every step under a token lower than one that it has accepted.
+"""Fencing: a resource refuses each step under a token lower than one that it has accepted.
 
-Time alone cannot stop a process that was paused between its check of the lease and its action. So the
-resource asks the guard before each step, and the guard stores the highest token where the resource stores
-its effects.
+A lease's expiry alone does not stop a process that was paused between its check of the lease and its action.
+So the resource asks the guard before each step, and the guard stores the highest token in the place where
+the resource stores its effects.
 """
 
 from __future__ import annotations
 
 from typing import Protocol
 
-MAX_TASK_LENGTH = 150  # characters, so that the register's key is short enough
+MAX_TASK_LENGTH = 150  # characters: with its prefix, the register's key stays below the limit for keys
 
 
 class FencingTokenStore(Protocol):
-    """Durable storage of the highest accepted token of each task."""
+    """Stores the highest accepted token of each task durably."""
 
     def highest_token(self, task: str) -> int:
-        """The highest token accepted for a task, 0 if there was none."""
+        """Return the highest token accepted for a task; 0 if there was none."""
 
     def save_token(self, task: str, token: int) -> None:
         """Store a higher token durably before returning.
 
         Raises:
-            OSError: The token could not be stored.
+            OSError: The token cannot be stored.
         """
 
 
 class FencingGuard:
-    """Decides whether a step under a token may be taken. A store serves the guard of one process only."""
+    """Decides whether a step under a token is allowed; a store serves the guard of one process only."""
 
     def __init__(self, tokens: FencingTokenStore) -> None:
         self._tokens = tokens
-        self.rejected_count = 0  # steps refused for their token
+        self.rejected_count = 0  # steps refused because of their token
 
     def accepts(self, task: str, token: int) -> bool:
-        """Whether a step may be taken; a token higher than all before is stored first.
+        """Return whether a step is allowed; a token higher than all before is stored first.
 
         Raises:
-            OSError: The token could not be stored; the step may not be taken.
+            OSError: The token cannot be stored, so the step is not allowed.
         """
         highest = self._tokens.highest_token(task)
         if token < highest or token <= 0:
--- a/rosepick/leases/lease_client.py
+++ b/rosepick/leases/lease_client.py
@@ -1,15 +1,15 @@
-"""The client side of one task's lease: a state machine that waits for the lease, holds it and renews it.
-
-    WAITING   another client holds the lease, or others are before this one in the queue
-    HELD      this client holds the lease; `may_act` is true until a safety margin before its end
-    LOST      this client held the lease and does not any more; `may_act` is false from now on
-    ENDED     the lease was released, or is not wanted any more
-
-Times are milliseconds of this process's own clock, which goes on while the machine sleeps. No two clocks
-are compared: the holder counts from before it sent its request, as if its clock were the slowest there
-may be; a client that waits counts from when it last saw the record change, as if its clock were the
-fastest. So the holder's time is over before the other's, whatever the two clocks show (Gray and Cheriton
-1989 give the rule for leases; drift is a bound on the rates of clocks).
+"""The client of one task's lease: a state machine that waits for the lease, holds it and renews it.
+
+    WAITING   Another client holds the lease, or other clients are ahead of this one in the queue.
+    HELD      This client holds the lease; `may_act` is true until a safety margin before the lease's end.
+    LOST      This client no longer holds the lease; `may_act` stays false.
+    ENDED     The lease was released, or this client stopped waiting for it.
+
+Times are milliseconds of this process's own clock, which continues while the machine sleeps. Clocks of
+different processes are never compared. The holder counts from before it sent its request, as if its clock had
+the slowest allowed rate. A waiting client counts from the moment when it last saw the record change, as if
+its clock had the fastest allowed rate. So the holder stops before the other client starts, whatever the two
+clocks show. This is the rule for leases of Gray and Cheriton (1989); drift is a bound on the rates of clocks.
 """
 
 from __future__ import annotations
@@ -23,30 +23,35 @@
 from . import lease_record
 from .lease_record import LeaseRecord
 
-# shares of the time to live
-RENEW_INTERVAL_SHARE = 1 / 3  # between renewals
-POLL_INTERVAL_SHARE = 1 / 14  # between reads of a lease that another client holds, within the limits below
-RETRY_DELAY_SHARE = 1 / 12  # until a renewal that has failed is tried again, on average
-SAFETY_MARGIN_SHARE = 0.05  # `may_act` is false this long before the lease's end
-DOUBT_THRESHOLD_SHARE = 0.4  # a lease with less time left is in doubt: renewals do not come through
+# The constants `..._SHARE` are shares of the lease's time to live.
+RENEW_INTERVAL_SHARE = 1 / 3  # interval between renewals
+# Interval between reads of a lease that another client holds, limited by the two intervals below.
+POLL_INTERVAL_SHARE = 1 / 14
+RETRY_DELAY_SHARE = 1 / 12  # mean delay before a failed renewal is retried
+SAFETY_MARGIN_SHARE = 0.05  # `may_act` becomes false this long before the lease's end
+DOUBT_THRESHOLD_SHARE = 0.4  # a lease with less time left is in doubt, because renewals have failed
 
 MIN_POLL_INTERVAL_MS = 30.0
 MAX_POLL_INTERVAL_MS = 400.0
-# each client in the queue has a free lease to itself for so long before the next one may take it
-QUEUE_TURN_MS = 150.0
-FIRST_IN_QUEUE_POLL_INTERVAL_MS = 100.0  # shorter than a turn, so that the first does not miss its own
-
-# polls are spread over 0.7 to 1.3 times the interval, and retries over 0.5 to 1.5 times the delay
+QUEUE_TURN_MS = (
+    150.0  # how long only one client of the queue may acquire a free lease before the next one may
+)
+FIRST_IN_QUEUE_POLL_INTERVAL_MS = (
+    100.0  # shorter than a turn, so that the first client does not miss its turn
+)
+
+# Polls are spread over 0.7 to 1.3 times the interval.
 MIN_POLL_JITTER = 0.7
 POLL_JITTER_RANGE = 0.6
-MIN_RETRY_JITTER = 0.5
+MIN_RETRY_JITTER = 0.5  # retries are spread over 0.5 to 1.5 times the delay
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseConfig:
-    """How a lease is held.
+    """Holds the settings of a lease.
 
-    `max_clock_drift` is the share by which the rate of any clock in the fleet may be off.
+    `ttl_ms` is the time to live in milliseconds. `max_clock_drift` is the largest relative error of the rate
+    of any clock in the fleet. `joins_queue` says whether a waiting client joins the queue.
     """
 
     ttl_ms: float = 10_000.0
@@ -55,16 +60,16 @@
 
     @property
     def holder_timeout_ms(self) -> float:
-        """How long a holder may act, by its own clock."""
+        """Return how many milliseconds a lease lasts by the holder's own clock."""
         return self.ttl_ms * (1.0 - self.max_clock_drift)
 
     def takeover_timeout_ms(self, ttl_ms: float) -> float:
-        """How long another client waits, by its own clock, until a holder's time to live is over."""
+        """Return how many milliseconds another client waits by its own clock until a lease has ended."""
         return ttl_ms * (1.0 + self.max_clock_drift)
 
 
 class LeaseState(Enum):
-    """The state of a lease client; see the module's description."""
+    """Names the states of a lease client, which the module's docstring describes."""
 
     WAITING = "waits"
     HELD = "holds"
@@ -74,14 +79,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseOperation:
-    """An operation that the driver has to run on the quorum: a change, or a read if `change` is None."""
+    """Describes an operation for the driver to run on the quorum: a change, or a read if `change` is None."""
 
     key: str
     change: RegisterChange | None
 
 
 class _OperationKind(Enum):
-    """What a pending operation is for."""
+    """Names the purpose of a pending operation."""
 
     READ = "read"
     ACQUIRE = "acquire"
@@ -99,9 +104,9 @@
 class LeaseClient:
     """Acquires, renews and releases one task's lease.
 
-    The driver calls `next_operation`, runs what it returns and passes the outcome to `handle_outcome`;
-    one operation is pending at a time. `owner_id` is drawn at each start of the process, and `jitter`
-    returns random numbers from 0 to 1.
+    The driver calls `next_operation`, runs the operation that it returns and passes the outcome to
+    `handle_outcome`; one operation is pending at a time. `owner_id` is drawn at random at each start of the
+    process, and `jitter` returns random numbers from 0 to 1.
     """
 
     def __init__(
@@ -113,29 +118,29 @@
         self.config = config
         self._jitter = jitter
         self.state = LeaseState.WAITING
-        self.token = 0  # of the lease that is or was held
+        self.token = 0  # fencing token of the lease that is or was held
         self.renewal_count = 0
-        self.known_record: LeaseRecord | None = None  # as it was last read
+        self.known_record: LeaseRecord | None = None  # the record when it was last read
         self._expires_at = 0.0  # end of the lease
-        self._record_changed_at = 0.0  # when the record was last seen to have changed
+        self._record_changed_at = 0.0  # when this client last saw that the record had changed
         self._operation_started_at: float | None = None  # None if no operation is pending
         self._operation_kind: _OperationKind | None = None
         self._next_operation_at = 0.0
         self._release_requested = False
         self._successor = ""
 
-    # -- for the holder's work
+    # -- for the holder of the lease
 
     def may_act(self, now: float) -> bool:
-        """Whether a step of work may be taken now; to be checked before each step."""
+        """Return whether a step of work is allowed now; the caller checks this before each step."""
         if self.state is not LeaseState.HELD or self._release_requested:
             return False
         return now < self._acting_ends_at()
 
     def remaining_ms(self, now: float) -> float:
-        """Milliseconds until nobody may act under this lease any more, should no renewal come through.
+        """Return the milliseconds until this client must stop acting, if no further renewal succeeds.
 
-        That also holds after the lease was taken away, as the next holder waits for it.
+        This also holds after a forced release, because the next holder waits until that time is over.
         """
         return max(0.0, self._acting_ends_at() - now)
 
@@ -143,14 +148,14 @@
         return self._expires_at - SAFETY_MARGIN_SHARE * self.config.ttl_ms
 
     def is_in_doubt(self, now: float) -> bool:
-        """Whether the lease is held and was not renewed for long."""
+        """Return whether the lease is held, and too little of it is left because renewals have failed."""
         remaining = self._expires_at - now
         return self.state is LeaseState.HELD and remaining < DOUBT_THRESHOLD_SHARE * self.config.ttl_ms
 
     def release(self, successor: str = "") -> None:
         """Release the lease, or stop waiting for it; `may_act` is false from now on.
 
-        To be called when the work has stopped. A successor is put first in the queue, by its name.
+        The caller has stopped its work before. The client named `successor` becomes the first in the queue.
         """
         self._release_requested = True
         self._successor = successor
@@ -161,13 +166,13 @@
     # -- for the driver
 
     def next_wakeup(self, now: float) -> float:
-        """When to call `next_operation` again, if no outcome comes before."""
+        """Return when to call `next_operation` again, if no outcome arrives before."""
         if self.state is LeaseState.HELD:
             return min(self._next_operation_at, max(now, self._expires_at))
         return self._next_operation_at
 
     def next_operation(self, now: float) -> LeaseOperation | None:
-        """The next operation, if it is time for one and none is pending."""
+        """Return the next operation, if one is due and none is pending."""
         self._check_expiry(now)
         if self._operation_started_at is not None or now < self._next_operation_at:
             return None
@@ -190,11 +195,11 @@
         self.state = LeaseState.ENDED if self._release_requested else LeaseState.LOST
 
     def _plan_operation(self, now: float) -> _PlannedOperation | None:
-        """Choose the next operation; None if there is nothing left to do."""
+        """Choose the next operation; None if this client has nothing left to do."""
         if self.state is LeaseState.HELD:
             return self._plan_as_owner(self.token)
         if self.known_record is not None and self._owns_record():
-            # it is not known when the lease was granted: it is held from a renewal on, and not before
+            # The reply to the grant was lost, so its time is unknown: a renewal has to succeed first.
             return self._plan_as_owner(self.known_record.token)
         if self._release_requested:
             return self._plan_leaving()
@@ -225,7 +230,7 @@
         return _PlannedOperation(_OperationKind.READ, None)
 
     def _owns_record(self) -> bool:
-        """Whether the record names this client as the owner; without the state HELD, a reply was lost."""
+        """Return whether this client owns the record; if its state is not HELD, a reply was lost."""
         record = self.known_record
         return record is not None and record.is_held and record.owner_id == self.owner_id
 
@@ -242,7 +247,7 @@
         return self.known_record.queue_position(self.owner_id, self.name)
 
     def _free_at(self) -> float:
-        """When this client may acquire the lease: nobody can hold it any more, and earlier turns are over."""
+        """Return when this client may acquire the lease: it has ended, and earlier turns are over."""
         assert self.known_record is not None
         record = self.known_record
         position = self._queue_position()
@@ -256,7 +261,7 @@
     # -- outcomes
 
     def handle_outcome(self, now: float, outcome: OperationOutcome) -> None:
-        """Take the outcome of the pending operation."""
+        """Handle the outcome of the pending operation."""
         started_at = self._operation_started_at
         self._operation_started_at = None
         if started_at is None:
@@ -277,7 +282,7 @@
     def _extend_lease(self, now: float, started_at: float) -> None:
         """Hold the lease for another time to live, counted from the start of the operation.
 
-        Other clients may count from any moment after that start.
+        Other clients count from a moment after that start.
         """
         self._expires_at = started_at + self.config.holder_timeout_ms
         if self._release_requested:
@@ -325,7 +330,7 @@
         self._next_operation_at = now
 
     def _next_poll_at(self, now: float, outcome: OperationOutcome) -> float:
-        """When to run the next operation: soon if the lease is about to be free, else rarely; with jitter."""
+        """Return when the next operation is due: after a jittered poll interval, or when the lease ends."""
         is_first = self._queue_position() == 0
         max_interval_ms = FIRST_IN_QUEUE_POLL_INTERVAL_MS if is_first else MAX_POLL_INTERVAL_MS
         ttl_interval_ms = max(MIN_POLL_INTERVAL_MS, POLL_INTERVAL_SHARE * self.config.ttl_ms)
--- a/rosepick/leases/lease_record.py
+++ b/rosepick/leases/lease_record.py
@@ -1,7 +1,7 @@
-"""The replicated record of a task's lease: its owner, the fencing token and the queue; and all changes of it.
+"""Defines the replicated record of a task's lease (owner, fencing token and queue) and its changes.
 
-A change is a function for the register that holds the record. It raises `ChangeRejectedError` if the
-record has changed in a way that rules it out; the register then stays as it is.
+A change is a function that computes the next value of the register that holds the record. It raises
+`ChangeRejectedError` if it does not apply to the current record; the register is then not changed.
 """
 
 from __future__ import annotations
@@ -13,81 +13,81 @@
 from ..consensus.messages import Register
 from ..consensus.proposer import ChangeRejectedError, RegisterChange
 
-KEY_PREFIX = "lease/"  # of the keys of all lease registers
-MAX_QUEUE_LENGTH = 256  # clients that come later poll without a place in the queue
+KEY_PREFIX = "lease/"  # prefix of the keys of all lease registers
+MAX_QUEUE_LENGTH = 256  # further clients poll without a place in the queue
 MAX_NOTE_LENGTH = 400  # characters
 
 
 class LeaseWaiter(msgspec.Struct, frozen=True, array_like=True):
-    """A client in the queue.
+    """Identifies a client in the queue.
 
-    `owner_id` is drawn at each start of a client; 0 stands for any client of that name.
+    `owner_id` is drawn at random at each start of a client; 0 stands for any client with that name.
     """
 
     owner_id: int
     name: str
 
     def matches(self, owner_id: int, name: str) -> bool:
-        """Whether a client may use this place in the queue."""
+        """Return whether a client may use this place in the queue."""
         return self.name == name and self.owner_id in (0, owner_id)
 
 
 class LeaseRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The state of a task's lease, stored as an array in this order.
+    """Holds the state of a task's lease; it is stored as an array in the order of the fields.
 
-    The token grows with each grant and each forced release, and never decreases. A lease that was
-    released by force stays held, by nobody, until its last owner's time is over.
+    `token` grows by one with each grant and each forced release, and never decreases. After a forced release
+    the lease stays held, without an owner, until the last owner's time to live is over.
     """
 
     token: int = 0
     is_held: bool = False
     owner_id: int = 0
     owner_name: str = ""
-    renewal_count: int = 0  # since the grant
+    renewal_count: int = 0  # renewals since the grant
     ttl_ms: float = 0.0
     queue: tuple[LeaseWaiter, ...] = ()
-    note: str = ""  # who released it by force, and why
+    note: str = ""  # the actor and the reason of a forced release
 
     def is_held_by(self, owner_id: int, token: int) -> bool:
-        """Whether the client with this id, which is drawn at each start, holds it under that token."""
+        """Return whether the client with this id holds the lease under this token."""
         return self.is_held and self.owner_id == owner_id and self.token == token
 
     def queue_position(self, owner_id: int, name: str) -> int | None:
-        """The place of a client in the queue, from 0; None if it has none."""
+        """Return the place of a client in the queue, counted from 0; None if it is not in the queue."""
         for position, waiter in enumerate(self.queue):
             if waiter.matches(owner_id, name):
                 return position
         return None
 
     def has_changed_since(self, earlier: LeaseRecord) -> bool:
-        """Whether it was granted, renewed or released since; changes of the queue alone do not count."""
+        """Return whether the lease was granted, renewed or released since; queue changes are ignored."""
         now = (self.token, self.is_held, self.renewal_count, self.owner_id)
         return now != (earlier.token, earlier.is_held, earlier.renewal_count, earlier.owner_id)
 
 
 def decode_record(register: Register) -> LeaseRecord:
-    """Decode the record that a register holds; a new one if the register is empty.
+    """Decode the record in a register; return a new record if the register is empty.
 
     Raises:
-        msgspec.MsgspecError: The register holds something else.
+        msgspec.MsgspecError: The register does not contain a lease record.
     """
     return msgspec.msgpack.decode(register.value, type=LeaseRecord) if register.value else LeaseRecord()
 
 
 def register_key(task: str) -> str:
-    """The key of a task's register."""
+    """Return the key of a task's register."""
     return KEY_PREFIX + task
 
 
 def _record_change(update: Callable[[LeaseRecord], LeaseRecord]) -> RegisterChange:
-    """Make a change of the register from a change of the record."""
+    """Return the change of the register that applies `update` to the record in it."""
     return lambda register: msgspec.msgpack.encode(update(decode_record(register)))
 
 
 def acquire(expected: LeaseRecord, owner_id: int, name: str, ttl_ms: float) -> RegisterChange:
     """Grant the lease to a client, unless it was granted, renewed or released since `expected` was read.
 
-    Clients before it in the queue are dropped: they have let their turn pass.
+    Clients ahead of it in the queue are removed, because they did not acquire the lease in their turns.
     """
 
     def update(record: LeaseRecord) -> LeaseRecord:
@@ -112,7 +112,7 @@
 
 
 def release(owner_id: int, token: int, successor: str = "") -> RegisterChange:
-    """Release the lease of its owner; a client named as successor becomes the first in the queue."""
+    """Release the lease of its owner; a client named `successor` becomes the first in the queue."""
 
     def update(record: LeaseRecord) -> LeaseRecord:
         if not record.is_held_by(owner_id, token):
@@ -126,7 +126,7 @@
 
 
 def join_queue(owner_id: int, name: str) -> RegisterChange:
-    """Append a client to the queue, unless it is in it or the queue is full."""
+    """Append a client to the queue, unless it is in the queue already or the queue is full."""
 
     def update(record: LeaseRecord) -> LeaseRecord:
         is_queued = record.queue_position(owner_id, name) is not None
@@ -150,10 +150,10 @@
 
 
 def force_release(actor: str, reason: str) -> RegisterChange:
-    """Take the lease from its owner: the token grows, so that no renewal succeeds any more.
+    """Take the lease from its owner: the token grows, so no further renewal of the owner succeeds.
 
-    The owner may act until its time is over, and the next one still waits for that: the lease stays held,
-    by nobody.
+    The owner may act until its time to live is over, and the next owner waits for that. So the lease stays
+    held, without an owner.
     """
 
     def update(record: LeaseRecord) -> LeaseRecord:
