--- a/rosepick/consensus/reconfiguration.py
+++ b/rosepick/consensus/reconfiguration.py
@@ -58,13 +58,13 @@
     names = {member.name for member in members}
     storages = {member.storage_id for member in members}
     if len(names) < len(members) or len(storages) < len(members):
-        return "a witness would vote twice"
+        return "a replica would vote twice"
     if not members or len(members) > max(m.QUORUM_SIZES):
-        return f"{len(members)} witnesses; 1 to {max(m.QUORUM_SIZES)} make a quorum"
+        return f"{len(members)} replicas; a quorum has 1 to {max(m.QUORUM_SIZES)}"
     joining = set(members) - set(old_quorum.members)
     leaving = set(old_quorum.members) - set(members)
     if len(joining) > 1 or len(leaving) > 1:
-        return "one witness at a time"
+        return "only one replica may join or leave at a time"
     return ""
 
 
--- a/rosepick/coordination/acceptor_server.py
+++ b/rosepick/coordination/acceptor_server.py
@@ -1,6 +1,6 @@
 """The process of a replica: a listener, the acceptor with its store, and connections to the other replicas.
 
-A reply is sent only after the state that it depends on is on the disk. A disk failure ends the process
+A reply is sent only after the state that it depends on is on disk. If the disk fails, the process ends
 without a reply.
 """
 
@@ -29,19 +29,21 @@
 from .quorum_connection import QuorumConnection, ReplicaEndpoint, SocketAddress
 
 logger = logging.getLogger(__name__)
-MAX_CLIENT_CONNECTIONS = 2_000  # the one that was silent longest is closed for another
-RESERVED_DESCRIPTORS = 64  # beside those of the clients: listener, peers, store
-ACCEPT_BATCH = 64  # connections accepted in one turn of the loop
+# At this limit, a new connection replaces the one that has been silent for the longest time.
+MAX_CLIENT_CONNECTIONS = 2_000
+RESERVED_DESCRIPTORS = 64  # for the listener, the peers and the store
+ACCEPT_BATCH = 64  # maximum number of connections accepted per event of the listener
 BACKLOG = 512
 RESTART_CHECK_INTERVAL_MS = 1_000.0
-INITIAL_RESTART_CHECK_INTERVAL_MS = 100.0  # until the acceptor votes
-RESTART_CHECK_GRACE_MS = 2_000.0  # after a start: wait for all peers so long, then for enough of them
+INITIAL_RESTART_CHECK_INTERVAL_MS = 100.0  # used until the acceptor votes
+# Within this time after a start, the replica waits for the replies of all peers; later, a majority is enough.
+RESTART_CHECK_GRACE_MS = 2_000.0
 SUMMARY_INTERVAL_MS = 60_000.0
 EXIT_DISK_FAILED = 3
 
 
 class IncomingConnection:
-    """A connection that a client or another replica has opened."""
+    """Is a connection that a client or another replica has opened."""
 
     def __init__(self, server: AcceptorServer, sock: socket.socket) -> None:
         self.server = server
@@ -69,12 +71,12 @@
             return
         if not data:
             raise OSError("closed")
-        self.server.clients[self] = self.server.clients.pop(self)  # moved to the end: the most recent
+        self.server.clients[self] = self.server.clients.pop(self)  # moves it to the end: the most recent
         for frame in self.frame_decoder.feed(data):
             self.server.handle_request(self, codec.decode_request(frame, self.server.key))
 
     def send(self, frame: bytes) -> None:
-        """Send a reply; it is dropped if the client has gone."""
+        """Send a reply, or drop it if the connection is closed."""
         if not self.stream.is_open:
             return
         try:
@@ -84,7 +86,7 @@
             self.close()
 
     def update_interest(self) -> None:
-        """Wait for input, and for output while something is unwritten."""
+        """Wait for input, and also for output while there is unwritten data."""
         if self.stream.is_open:
             self.stream.set_events(READ | (WRITE if self.stream.has_unwritten() else 0))
 
@@ -96,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingReply:
-    """A reply that waits until the state it depends on is on the disk."""
+    """Holds a reply until the state that it depends on is on disk."""
 
     client: IncomingConnection
     reply: messages.QuorumReply
@@ -106,7 +108,7 @@
     """Serves one acceptor of the quorum (the command `rosepick witness`).
 
     Raises:
-        StoreError: the folder cannot be used.
+        StoreError: The folder cannot be used.
     """
 
     def __init__(
@@ -180,7 +182,7 @@
             self.clients[IncomingConnection(self, sock)] = None
 
     def record_decode_error(self, reason: str) -> None:
-        """Count and log a message that could not be decoded; it has changed nothing."""
+        """Count and log a message that could not be decoded; it has no other effect."""
         self.counts["decode_errors"] += 1
         log_event(
             logger,
@@ -191,7 +193,7 @@
         )
 
     def handle_request(self, client: IncomingConnection, request: messages.QuorumRequest) -> None:
-        """Have the acceptor handle a request; the reply is sent after the commit."""
+        """Pass a request to the acceptor; its reply is sent after the commit."""
         if self.exit_status:
             return
         reply, changes = self.acceptor.handle(request, (self.loop.now() - self._started_at) / 1000.0)
@@ -200,7 +202,7 @@
         self._merge_changes(changes)
         if not self._pending_replies:
             self.loop.call_at(self.loop.now(), self._commit)
-        # a reply without changes waits as well: it may depend on state that is not on the disk yet
+        # A reply without changes waits, too: it may depend on state that is not on disk yet.
         self._pending_replies.append(PendingReply(client, reply))
 
     def _merge_changes(self, changes: StateChanges) -> None:
@@ -288,9 +290,9 @@
         self._announce_voting()
 
     def _reset_storage(self) -> None:
-        """Begin a new storage: the folder is older than the other replicas remember, and may not vote."""
+        """Start a new storage, because the other replicas know of a later start of the current one."""
         old = self.store.state
-        self.store.set_aside(secrets.token_hex(8))
+        self.store.replace_storage(secrets.token_hex(8))
         self.acceptor = Acceptor(self.name, self.store.state, secrets.token_hex(8))
         self._voting_announced = False
         self._clear_pending()
@@ -309,11 +311,11 @@
         self.loop.call_after(SUMMARY_INTERVAL_MS, self._log_summary)
 
     def stop(self) -> None:
-        """Stop soon; pending replies are dropped, as clients retry with other replicas."""
+        """Stop the event loop; pending replies are dropped, because clients retry with other replicas."""
         self.loop.stop()
 
     def run(self) -> int:
-        """Serve until SIGTERM, SIGINT or a disk failure; return the exit status."""
+        """Serve until SIGTERM, SIGINT or a disk failure, and return the exit status."""
         self.loop.add_signal_handlers({signal.SIGTERM: self.stop, signal.SIGINT: self.stop})
         self.loop.run()
         self._log_summary()
--- a/rosepick/coordination/acceptor_store.py
+++ b/rosepick/coordination/acceptor_store.py
@@ -1,7 +1,8 @@
-"""Durable state in sqlite3: that of an acceptor, and the highest fencing tokens of a guard.
+"""Durable state in SQLite: the state of an acceptor, and the highest fencing tokens of a guard.
 
-Each commit is synchronised. A folder is locked by one process at a time. The database is known by its inode
-and by a hard link: a copy that was put in its place is another file, and starts as a new storage.
+Each commit is synchronised to the disk. A folder is locked by one process at a time. The store recognises its
+database by the inode and by a hard link. A copy that replaced the database is another file, so it becomes a
+new storage.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 from ..consensus.messages import Quorum, RegisterState
 
 T = TypeVar("T")
-SCHEMA_VERSION = 1  # stored; a newer one is refused
+SCHEMA_VERSION = 1  # stored in the database; a newer version is refused
 DATABASE_NAME = "witness.sqlite3"
-MAX_SET_ASIDE_FOLDERS = 1_000
+MAX_ARCHIVE_FOLDERS = 1_000
 HARD_LINK_NAME = DATABASE_NAME + ".same"
 _SCHEMA = """
 create table if not exists meta (name text primary key, value blob) without rowid;
@@ -31,23 +32,23 @@
 
 
 class StoreError(Exception):
-    """A folder cannot be used: it is locked, cannot be read or has a newer schema; the text says which."""
+    """Raised if a folder cannot be used: it is locked, cannot be read, or has a newer schema."""
 
 
 def _open_database(path: Path) -> sqlite3.Connection:
     db = sqlite3.connect(path, isolation_level=None, timeout=0.0)
     db.execute("pragma journal_mode=wal")
-    db.execute("pragma synchronous=full")  # a commit is on the disk when it returns
+    db.execute("pragma synchronous=full")  # a commit is on disk when it returns
     db.execute("pragma wal_autocheckpoint=400")
     db.executescript(_SCHEMA)
     return db
 
 
 class LockedFolder:
-    """A folder that is locked by this process.
+    """Is a folder that this process has locked.
 
     Raises:
-        StoreError: the folder cannot be made or is locked by another process.
+        StoreError: The folder cannot be created or is locked by another process.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -61,7 +62,7 @@
             fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self._lock_descriptor)
-            raise StoreError(f"{folder}: another process uses it") from None
+            raise StoreError(f"{folder}: another process has locked it") from None
 
     def close(self) -> None:
         """Unlock the folder."""
@@ -69,18 +70,18 @@
 
 
 class AcceptorStore:
-    """The durable state of an acceptor.
+    """Stores the durable state of an acceptor.
 
-    `new_storage_id` becomes the identity of a folder that has none; the caller draws it.
+    `new_storage_id` is a random id from the caller; it becomes the identity of a folder that has none.
 
     Raises:
-        StoreError: the folder cannot be used.
+        StoreError: The folder cannot be used.
     """
 
     def __init__(self, folder: Path, new_storage_id: str) -> None:
         self.folder = LockedFolder(folder)
         self.path = folder / DATABASE_NAME
-        self.was_copied = False  # the database was a copy: it was set aside and a new storage begun
+        self.was_copied = False  # the database was a copy: it was archived, and a new storage was started
         try:
             self._open_storage(new_storage_id)
         except (sqlite3.Error, msgspec.MsgspecError) as error:
@@ -90,7 +91,7 @@
     def _open_storage(self, new_storage_id: str) -> None:
         self._db = _open_database(self.path)
         if self._read_meta("inode", str) not in (None, self._inode()) or not self._hard_link_matches():
-            self.set_aside(new_storage_id)
+            self.replace_storage(new_storage_id)
             self.was_copied = True
             return
         self._load_state(new_storage_id)
@@ -98,7 +99,9 @@
     def _load_state(self, new_storage_id: str) -> None:
         version = self._read_meta("form", int)
         if version is not None and version > SCHEMA_VERSION:
-            raise sqlite3.DatabaseError(f"its form {version} is newer than this program's {SCHEMA_VERSION}")
+            raise sqlite3.DatabaseError(
+                f"schema version {version} is newer than the supported {SCHEMA_VERSION}"
+            )
         storage_id = self._read_meta("storage", str) or new_storage_id
         start_count = (self._read_meta("starts", int) or 0) + 1
         self._db.execute("begin immediate")
@@ -127,22 +130,22 @@
             known_starts,
         )
 
-    def set_aside(self, new_storage_id: str) -> None:
-        """Begin a new storage; the old files are moved to a folder `aside-N` beside it."""
+    def replace_storage(self, new_storage_id: str) -> None:
+        """Start a new storage; the old files are moved to a subfolder `aside-N`."""
         self._db.close()
-        for number in range(MAX_SET_ASIDE_FOLDERS):
-            aside = self.folder.path / f"aside-{number}"
-            if not aside.exists():
+        for number in range(MAX_ARCHIVE_FOLDERS):
+            archive = self.folder.path / f"aside-{number}"
+            if not archive.exists():
                 break
-        aside.mkdir()
+        archive.mkdir()
         for path in self.folder.path.glob(DATABASE_NAME + "*"):
-            path.rename(aside / path.name)
+            path.rename(archive / path.name)
         self._db = _open_database(self.path)
         self._hard_link_matches()
         self._load_state(new_storage_id)
 
     def _hard_link_matches(self) -> bool:
-        """Return whether the hard link is of the same file; it is made where there never was one."""
+        """Return whether the hard link points to the database; create the link if there never was one."""
         link = self.path.with_name(HARD_LINK_NAME)
         if link.exists():
             return link.samefile(self.path)
@@ -151,7 +154,7 @@
         try:
             link.hardlink_to(self.path)
         except OSError:
-            return True  # a file system without hard links: the inode number alone is compared
+            return True  # the file system has no hard links: only the inode number is compared
         self._write_meta("second", True)
         return True
 
@@ -169,7 +172,7 @@
         """Commit changes to the disk.
 
         Raises:
-            sqlite3.Error, OSError: the changes may not be on the disk; no reply may be sent.
+            sqlite3.Error, OSError: The changes may not be on disk, so no reply may be sent.
         """
         self._db.execute("begin immediate")
         if changes.epoch_installed:
@@ -195,10 +198,10 @@
 
 
 class SqliteFencingTokenStore:
-    """The highest fencing token of each task, on the disk before a step is taken.
+    """Stores the highest fencing token of each task; a token is on disk when `save_token` returns.
 
     Raises:
-        StoreError: the folder cannot be used.
+        StoreError: The folder cannot be used.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -215,10 +218,10 @@
         return self._highest_tokens.get(task, 0)
 
     def save_token(self, task: str, token: int) -> None:
-        """Persist a higher token.
+        """Store a higher token durably.
 
         Raises:
-            OSError: the token cannot be stored.
+            OSError: The token cannot be stored.
         """
         try:
             self._db.execute("insert or replace into tokens values (?, ?)", (task, token))
--- a/rosepick/coordination/admin_call.py
+++ b/rosepick/coordination/admin_call.py
@@ -1,4 +1,4 @@
-"""A call to the admin listener of a member: one command line, and its answer."""
+"""A call to the admin listener of a member: sends one command line and reads the answer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class AdminCall:
     """Sends one command line to an admin listener.
 
-    `on_answer` is called once, with the answer or, if none came in time, with None.
+    `on_answer` is called once, with the answer, or with None if there is no answer within `ADMIN_TIMEOUT_MS`.
     """
 
     def __init__(
@@ -70,4 +70,4 @@
 
 
 def _ignore_answer(_text: str | None) -> None:
-    """Take the place of a callback that has been called."""
+    """Replace the callback once it has been called, so that it is not called again."""
--- a/rosepick/coordination/agent_driver.py
+++ b/rosepick/coordination/agent_driver.py
@@ -1,4 +1,4 @@
-"""Drives one agent: runs its operations on the quorum, acts on its member and reports the member's health.
+"""Drives one agent: runs its operations on the quorum, controls its member and reports the member's health.
 
 It does the I/O for `fleet.agent.Agent`, which has neither sockets nor clocks.
 """
@@ -26,34 +26,35 @@
 from .quorum_client import QuorumClient
 
 logger = logging.getLogger(__name__)
-TICK_MS = 100.0  # between two checks of the member
-CHANGE_REPORT_INTERVAL_MS = 2 * TICK_MS  # the shortest time to the report of a member that changed its state
-IDLE_ROLLOUT_POLL_MS = 2_000.0  # between two reads of the rollout state while it asks for nothing
+TICK_MS = 100.0  # interval between two checks of the member
+# Minimum interval before a report that is sent early, because the state of the member has changed.
+CHANGE_REPORT_INTERVAL_MS = 2 * TICK_MS
+IDLE_ROLLOUT_POLL_MS = 2_000.0  # interval between two reads of the rollout state while no rollout is active
 
 
 class SupervisedMember(Protocol):
-    """The member that an agent manages."""
+    """Is the member that an agent manages."""
 
     def read_status(self) -> MemberStatus:
-        """Return its present status."""
+        """Return the member's current status."""
 
     def apply_action(self, action: MemberAction) -> None:
-        """Start, drain, undrain or stop the member; called at each tick until its status shows it."""
+        """Start, drain, undrain or stop the member; called at each tick until the status shows the effect."""
 
     def make_report(self, run_id: int, sequence: int) -> HealthReport:
-        """Return a health report with the figures since the last one."""
+        """Return a health report with the metrics since the last report."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedState:
-    """The part of a member's status whose change is reported at once."""
+    """Holds the part of a member's status whose changes are reported early."""
 
     serving: bool = False
     warm: bool = False
 
 
 class AgentDriver:
-    """Drives one agent on the event loop of its quorum client, from construction on."""
+    """Drives one agent on the event loop of its quorum client, starting when it is constructed."""
 
     def __init__(
         self,
@@ -86,17 +87,17 @@
         self._tick()
 
     def _tick(self) -> None:
-        self.loop.call_after(TICK_MS, self._tick)  # first: whatever fails in this turn, the next one comes
+        self.loop.call_after(TICK_MS, self._tick)  # first: a failure below must not prevent the next tick
         try:
-            self._take_turn()
+            self._run_tick()
         except OSError as error:
             self._log_storage_failure(error)
 
     def _log_storage_failure(self, error: OSError) -> None:
-        """Log that the agent's disk refused a write: the step that rests on it is due again."""
+        """Log that the agent's disk failed a write; the step that depends on the write is retried."""
         log_event(logger, logging.ERROR, "agent_storage_failed", member=self.agent.name, text=error)
 
-    def _take_turn(self) -> None:
+    def _run_tick(self) -> None:
         now = self.loop.now()
         self._status = self._member.read_status()
         action = self.agent.next_action(now, self._status)
@@ -110,7 +111,7 @@
         self._log_transitions(now)
 
     def _guard_accepts(self) -> bool:
-        """Return whether the guard allows an action under the agent's permit: it has seen no newer one."""
+        """Return whether the guard accepts the agent's permit, because it has seen no newer one."""
         accepted = self._guard.accepts(self.agent.name, self.agent.permit)
         if not accepted and not self._refusal_count:
             log_event(
@@ -139,7 +140,7 @@
         self._log_transitions(self.loop.now())
 
     def _log_transitions(self, now: float) -> None:
-        """Log a new phase or permit, and the loss and return of the quorum."""
+        """Log a new phase or permit, and the loss and the recovery of the quorum."""
         agent = self.agent
         if (agent.phase, agent.permit) != (self._logged_phase, self._logged_permit):
             self._logged_phase = agent.phase
@@ -165,7 +166,7 @@
     # -- reports
 
     def _send_report(self, now: float) -> None:
-        """Report the member's health at each interval, and soon after it came up or went down."""
+        """Report the member's health at each interval, and early if its reported state has changed."""
         state = ReportedState(self._status.serving, self._status.warm)
         elapsed_ms = now - self._reported_at
         is_due = elapsed_ms >= self._config.report_interval_ms or (
@@ -197,13 +198,13 @@
         if outcome.kind is OutcomeKind.COMMITTED:
             self.agent.record_quorum_response(self.loop.now())
         else:
-            # differs from the present state, so that the report is repeated soon
+            # The opposite of the reported state makes the next report due early.
             self._last_reported = ReportedState(not state.serving, state.warm)
 
     # -- rollouts
 
     def _read_rollouts(self, now: float) -> None:
-        """Read the rollout state if it is time: often while the deployer has something to do by it."""
+        """Read the rollout state if it is due, which is more often while the deployer has pending work."""
         deployer = self.agent.deployer
         if deployer is None or self._is_reading_rollouts or now < self._next_rollout_read_at:
             return
@@ -229,5 +230,5 @@
         self._next_rollout_read_at = self.loop.now() + interval_ms
 
     def release_lease(self) -> None:
-        """Hand the failure detector over to another agent, as this one ends; the member runs on."""
+        """Release the failure detector's lease, because this agent ends; the member continues to run."""
         self._detector_driver.release_lease()
--- a/rosepick/coordination/agent_driver_config.py
+++ b/rosepick/coordination/agent_driver_config.py
@@ -1,4 +1,4 @@
-"""Settings that an agent's driver shares with that of the failure detector."""
+"""Settings of an agent's driver and of its failure detector's driver."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentDriverConfig:
-    """Settings of an agent's driver.
+    """Holds the settings of an agent's driver.
 
-    `group` names the fleet state; `lease` and `detector` apply while this agent runs the failure detector,
-    and `rollout` while it leads rollouts (None: it never does). `wall_clock` returns seconds since the epoch.
+    `group` names the fleet state. `lease` and `detector` apply while this agent runs the failure detector;
+    `rollout` applies while it leads rollouts (None: it never does). `report_interval_ms` is the time between
+    two health reports. `wall_clock` returns seconds since the Unix epoch.
     """
 
     group: str
--- a/rosepick/coordination/agent_state_file.py
+++ b/rosepick/coordination/agent_state_file.py
@@ -1,4 +1,4 @@
-"""The durable state of an agent, in a JSON file of its folder."""
+"""Stores the durable state of an agent in a JSON file in its folder."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class AgentStateFile:
-    """The durable state of an agent: its member's phase, permit, process and versions, by name.
+    """Stores the durable state of an agent: its member's phase, permit, process and versions, by name.
 
-    `tokens` stores the fencing tokens of the same folder, which it locks for this agent.
+    `tokens` stores the fencing tokens in the same folder, and locks the folder for this agent.
 
     Raises:
-        StoreError: the folder or the file cannot be used.
+        StoreError: The folder or the file cannot be used.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -30,25 +30,25 @@
             raise StoreError(f"{self._path}: {error}") from None
 
     def load(self) -> tuple[int, int]:
-        """Return the stored phase of the member and its permit; zeros if there is nothing."""
+        """Return the stored phase and permit of the member; zeros if none are stored."""
         return int(self._values.get("at", 0)), int(self._values.get("permit", 0))
 
     def save(self, phase: int, permit: int) -> None:
-        """Store phase and permit; they are on the disk when this returns."""
+        """Store phase and permit; they are on disk when this returns."""
         self.put(at=phase, permit=permit)
 
     def put(self, **values: Any) -> None:
-        """Store values by name; the file is replaced as a whole, and synchronised.
+        """Store values by name: replace the whole file and synchronise it to the disk.
 
         Raises:
-            OSError: the file cannot be written.
+            OSError: The file cannot be written.
         """
         stored = {**self._values, **values}
         try:
             self._replace_file(stored)
         except OSError:
-            # memory follows the disk, whichever of the two it has: what was refused must not be stored with
-            # the next write of something else
+            # Reload the values from the file, which is the old one or the new one: values whose write failed
+            # must not reach the disk with the next write of other values.
             self._values = self._read_file(self._values)
             raise
         self._values = stored
@@ -66,16 +66,16 @@
         finally:
             os.close(folder_descriptor)
 
-    def _read_file(self, otherwise: dict[str, Any]) -> dict[str, Any]:
-        """Return what the file holds, or `otherwise` if it cannot be read."""
+    def _read_file(self, default: dict[str, Any]) -> dict[str, Any]:
+        """Return the values in the file, or `default` if it cannot be read."""
         try:
             values: dict[str, Any] = json.loads(self._path.read_text("utf-8"))
         except (OSError, ValueError):
-            return otherwise
+            return default
         return values
 
     def get(self, name: str) -> Any:
-        """Return the stored value of a name; None if there is none."""
+        """Return the value stored under `name`; None if there is none."""
         return self._values.get(name)
 
     def close(self) -> None:
--- a/rosepick/coordination/artifact_fetch.py
+++ b/rosepick/coordination/artifact_fetch.py
@@ -1,7 +1,7 @@
-"""Fetches one artifact to this host: copies it, has it checked, and starts a build for a trial.
+"""Fetches one artifact to this host: copies it, runs its check, and runs a build for a trial.
 
-An agent runs this module in a process of its own (`FETCH_ENTRY_POINT`), so that it goes on with its member
-meanwhile.
+An agent runs this module in a separate process (`FETCH_ENTRY_POINT`), so that it can manage its member in the
+meantime.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 
 from ..fleet.rollout_state import SETTINGS
 
-EXIT_HOST_FAULT = 4  # exit status: the artifact could not be had or tried on this host
+EXIT_HOST_FAULT = 4  # exit status: the artifact could not be fetched or tried on this host
 EXIT_ARTIFACT_FAULT = 5  # exit status: the artifact failed its check or trial
 FETCH_TIMEOUT_S = 120.0
-TRIAL_RUN_S = 1.5  # a trial process has to run for so long
-TRIAL_STOP_TIMEOUT_S = 10.0  # it has to end within that after SIGTERM
+TRIAL_RUN_S = 1.5  # a trial process must not exit within this time
+TRIAL_STOP_TIMEOUT_S = 10.0  # a trial process must exit within this time after SIGTERM
 DIGEST_BYTES = 8
 LENGTH_PREFIX_BYTES = 8
 EXECUTABLE_BIT = 0o100
 SKIPPED_FOLDERS = ("__pycache__",)
-# The path is an argument and not PYTHONPATH, which check and trial would inherit and import from.
+# The path is an argument, because the check and the trial would inherit PYTHONPATH and import from there.
 FETCH_ENTRY_POINT = (
     "import sys; sys.path.insert(0, sys.argv.pop(1)); "
     "from rosepick.coordination.artifact_fetch import main; main()"
@@ -38,7 +38,7 @@
 
 
 class FetchError(Exception):
-    """A fetch has failed; `status` is `EXIT_HOST_FAULT` or `EXIT_ARTIFACT_FAULT`."""
+    """Raised if a fetch fails; `status` is `EXIT_HOST_FAULT` or `EXIT_ARTIFACT_FAULT`."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -46,11 +46,11 @@
 
 
 class FetchOptions(msgspec.Struct, frozen=True):
-    """How a fetched artifact is checked and tried; an argument of the fetching process, as JSON.
+    """Says how a fetched artifact is checked and tried; passed to the fetching process as JSON.
 
-    `kind` is `BUILD` or `SETTINGS`; `config` is the router's own configuration file (empty: none); `check`
-    and `command` are commands with `{build}` for the build's path; `build` and `settings` are the paths of
-    what the member runs now; `scratch` is the path beside which configurations are written.
+    `kind` is `BUILD` or `SETTINGS`. `config` is the router's own configuration file (empty: none). `check`
+    and `command` are commands with `{build}` for the build's path. `build` and `settings` are the paths of
+    the artifacts that the member runs now. `scratch` is the path next to which configurations are written.
     """
 
     kind: str
@@ -63,10 +63,10 @@
 
 
 def digest_of(path: Path) -> str:
-    """Return the digest of a file's content, or of all paths, executable bits and contents below a folder.
+    """Return the digest of a file's content, or of all paths, executable bits and contents in a folder.
 
     Raises:
-        OSError: something cannot be read.
+        OSError: The file, the folder or a file in it cannot be read.
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
     if path.is_file():
@@ -92,11 +92,11 @@
 
 
 def compose_config(base: Path, settings: Path | None) -> str:
-    """Return a router's configuration: its own file `base` with the fleet's settings in it.
+    """Return a router's configuration as JSON: its own file `base` with the fleet's settings added.
 
     Raises:
-        OSError: a file cannot be read.
-        ValueError: a file is no JSON.
+        OSError: A file cannot be read.
+        ValueError: A file is not valid JSON.
     """
     config = json.loads(base.read_text("utf-8"))
     if settings is not None:
@@ -105,15 +105,15 @@
 
 
 def fill_command(command: Iterable[str], build: Path | str) -> list[str]:
-    """Return a command with the path of a build in place of `{build}`."""
+    """Return a command with `{build}` replaced by the path of a build."""
     return [word.replace("{build}", str(build)) for word in command]
 
 
 def fetch_artifact(source: Path, digest: str, target: Path, options: FetchOptions) -> None:
-    """Copy an artifact from `source` to `target`, check it, try it, and mark it ready by a file beside it.
+    """Copy an artifact from `source` to `target`, check it, try it, and write the file that marks it ready.
 
     Raises:
-        FetchError: it cannot be had, or it failed its check or trial.
+        FetchError: The artifact cannot be fetched, or it failed its check or trial.
     """
     try:
         if not (target.exists() and digest_of(target) == digest):
@@ -130,7 +130,7 @@
 
 
 def remove_path(path: Path, ignore_errors: bool = False) -> None:
-    """Remove a file, or a folder with all that is in it (`ignore_errors`: as much of it as can be)."""
+    """Remove a file or a folder tree; `ignore_errors` skips the parts of a tree that cannot be removed."""
     if path.is_dir():
         shutil.rmtree(path, ignore_errors=ignore_errors)
     else:
@@ -148,7 +148,7 @@
             shutil.copy2(source, partial)
         actual_digest = digest_of(partial)
         if actual_digest != digest:
-            raise FetchError(EXIT_HOST_FAULT, f"{source} is another one here: {actual_digest}")
+            raise FetchError(EXIT_HOST_FAULT, f"{source} has another digest: {actual_digest}")
         os.sync()
         partial.rename(target)
     except shutil.Error as error:
@@ -159,9 +159,9 @@
 
 
 def _trial_environment(options: FetchOptions, settings: Path | None, uses_own_ports: bool) -> dict[str, str]:
-    """Return the environment of a check or a trial, with a configuration in a file beside `scratch`.
+    """Return the environment of a check or a trial, and write its configuration next to `scratch`.
 
-    `uses_own_ports` has the process listen on a free port, and on no admin port.
+    With `uses_own_ports`, the process listens on a free port and on no admin port.
     """
     if not options.config:
         return dict(os.environ)
@@ -169,7 +169,7 @@
         config = json.loads(compose_config(Path(options.config), settings))
     except (OSError, ValueError) as error:
         status = EXIT_ARTIFACT_FAULT if settings else EXIT_HOST_FAULT
-        raise FetchError(status, f"no configuration: {error}") from None
+        raise FetchError(status, f"cannot compose the configuration: {error}") from None
     if uses_own_ports:
         config["listen"] = f"{str(config['listen']).rpartition(':')[0]}:0"
         config.pop("ops", None)
@@ -180,7 +180,7 @@
 
 
 def _run_check(options: FetchOptions, build: str, settings: Path | None) -> None:
-    """Run the check command, if there is one; it has to exit with 0."""
+    """Run the check command, if there is one; it must exit with status 0."""
     if not options.check:
         return
     completed = subprocess.run(
@@ -199,7 +199,7 @@
 
 
 def _run_trial(options: FetchOptions, build: Path) -> None:
-    """Start a build on a free port: it has to stay up, and to end on SIGTERM."""
+    """Start a build on a free port: it must run for `TRIAL_RUN_S`, and exit after SIGTERM."""
     settings = Path(options.settings) if options.settings else None
     environment = _trial_environment(options, settings, uses_own_ports=True)
     try:
@@ -220,14 +220,14 @@
         try:
             process.wait(TRIAL_STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
-            raise FetchError(EXIT_ARTIFACT_FAULT, "a trial start does not end when it is told to") from None
+            raise FetchError(EXIT_ARTIFACT_FAULT, "a trial start does not end after SIGTERM") from None
     finally:
         with contextlib.suppress(ProcessLookupError):
             os.killpg(process.pid, signal.SIGKILL)
 
 
 def main() -> None:
-    """Fetch one artifact; the arguments are SOURCE DIGEST TARGET OPTIONS (JSON of `FetchOptions`)."""
+    """Fetch one artifact; the command line is SOURCE DIGEST TARGET OPTIONS (JSON of `FetchOptions`)."""
     source, digest, target, options = sys.argv[1:]
     try:
         fetch_artifact(Path(source), digest, Path(target), msgspec.convert(json.loads(options), FetchOptions))
--- a/rosepick/coordination/artifact_store.py
+++ b/rosepick/coordination/artifact_store.py
@@ -1,4 +1,4 @@
-"""The artifacts on this host: builds and settings, which processes of their own fetch."""
+"""Stores the artifacts on this host (builds and settings), which separate processes fetch."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 )
 
 logger = logging.getLogger(__name__)
-MAX_REASON_LENGTH = 120  # characters of a fetch's message
+MAX_REASON_LENGTH = 120  # characters of a fetch's message that are reported
 SCRATCH_NAME = "trial"
-PROGRAM_ROOT = Path(__file__).parents[2]  # the folder that `rosepick` is imported from
+PROGRAM_ROOT = Path(__file__).parents[2]  # the folder from which `rosepick` is imported
 
 
 @dataclass(frozen=True, slots=True)
 class MemberProgram:
-    """What a member is started with, before any rollout.
+    """Holds what a member is started with before any rollout.
 
-    `build` is the installed build, `config` the member's own GW_CONFIG (None: it has none); `check` and
-    `command` are commands with `{build}` for a build's path.
+    `build` is the path of the installed build. `config` is the member's own configuration file, GW_CONFIG
+    (None: it has none). `check` and `command` are commands with `{build}` for a build's path.
     """
 
     build: Path | None
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstalledBuild:
-    """The build that stood on the host before any rollout; both fields are empty if there is none."""
+    """Identifies the build on the host before any rollout; both fields are empty if there is none."""
 
     digest: str = ""
     path: str = ""
@@ -57,22 +57,25 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningFetch:
-    """A process that fetches an artifact, and when it was started (seconds, monotonic)."""
+    """Holds a process that fetches an artifact, and its start time (seconds of the monotonic clock)."""
 
     process: subprocess.Popen[bytes]
     started_at_s: float
 
 
 class LocalArtifactStore:
-    """The artifacts on this host, and the configuration file that the member is started with.
+    """Stores the artifacts on this host, and the configuration file that the member is started with.
+
+    `active_digests` returns the digest of the active artifact by kind. `reload_member` makes the running
+    member reload its configuration.
 
     Raises:
-        OSError: the folder cannot be made, or the installed build cannot be read.
+        OSError: The folder cannot be created, or the installed build cannot be read.
     """
 
     def __init__(self, state_file: AgentStateFile, folder: Path, program: MemberProgram) -> None:
         self.folder = folder / "versions"
-        self.live_config = folder / "config.json"  # composed of the member's own and the active settings
+        self.live_config = folder / "config.json"  # the member's own configuration with the active settings
         self._program = program
         self.folder.mkdir(exist_ok=True)
         self._fetches: dict[str, RunningFetch] = {}
@@ -87,7 +90,7 @@
         return self.folder / digest
 
     def prepare(self, kind: str, artifact: Artifact) -> ArtifactStatus:
-        """Return whether an artifact is ready; if it is missing, a fetch is started."""
+        """Return the status of an artifact; start to fetch it if it is missing."""
         digest = artifact.digest
         if not digest or (digest == self.installed.digest and Path(self.installed.path).exists()):
             return ArtifactStatus(True)
@@ -129,9 +132,9 @@
         )
 
     def write_config(self) -> None:
-        """Write the configuration of the member's next start: its own file with the active settings.
+        """Write the configuration for the member's next start: its own file with the active settings.
 
-        If one of the two cannot be read, the file stays as it is, and an error is logged.
+        If either cannot be read, the file is not changed and an error is logged.
         """
         if self._program.config is None:
             return
@@ -145,16 +148,16 @@
             log_event(logger, logging.ERROR, "settings_write_failed", digest=digest, text=error)
 
     def apply_settings(self, _kind: str, _digest: str) -> None:
-        """Have the running member read the active settings."""
+        """Make the running member reload its configuration with the active settings."""
         self.write_config()
         self.reload_member()
 
     def environment(self) -> dict[str, str]:
-        """Return the environment variables that the member is started with in addition."""
+        """Return the additional environment variables that the member is started with."""
         return {} if self._program.config is None else {"GW_CONFIG": str(self.live_config.absolute())}
 
     def remove_except(self, needed: Iterable[str]) -> None:
-        """Remove all artifacts but those with the given digests; nothing while a fetch runs."""
+        """Remove all artifacts except those with the given digests; remove none while a fetch runs."""
         needed_names = {*needed, SCRATCH_NAME}
         for path in self.folder.iterdir():
             is_needed = path.name.split(".")[0] in needed_names or path.name.startswith(".")
@@ -163,7 +166,7 @@
 
 
 def _installed_build(state_file: AgentStateFile, build: Path | None) -> InstalledBuild:
-    """Return the installed build; its digest is computed once for each path, and persisted."""
+    """Return the installed build; its digest is computed once for each path and stored."""
     stored = state_file.get("first")
     if build is not None and (not isinstance(stored, list) or stored[1] != str(build)):
         stored = [digest_of(build), str(build)]
@@ -172,7 +175,7 @@
 
 
 def _failed_status(artifact: Artifact, process: subprocess.Popen[bytes]) -> ArtifactStatus:
-    """Log how a fetch has failed, and return that with its cause."""
+    """Log why a fetch has failed, and return the status with the cause and the reason."""
     message = process.stderr.read().decode("utf-8", "replace").strip() if process.stderr else ""
     reason = " ".join(message.splitlines()[-1:])[:MAX_REASON_LENGTH]
     is_artifact_fault = process.returncode == EXIT_ARTIFACT_FAULT
@@ -186,4 +189,4 @@
         cause=cause.value,
         reason=reason,
     )
-    return ArtifactStatus(False, cause, reason or f"the fetch ended with {process.returncode}")
+    return ArtifactStatus(False, cause, reason or f"the fetch exited with status {process.returncode}")
--- a/rosepick/coordination/detector_driver.py
+++ b/rosepick/coordination/detector_driver.py
@@ -1,4 +1,4 @@
-"""Drives a fleet's failure detector and rollout leader, in the agent that holds their lease."""
+"""Drives a fleet's failure detector and rollout leader in the agent that holds their lease."""
 
 from __future__ import annotations
 
@@ -22,15 +22,16 @@
 from .lease_holder import FINAL_STATES, LeaseHolder
 from .quorum_client import QuorumClient
 
-logger = logging.getLogger("rosepick.coordination.agent_driver")  # one part of the log for all of an agent
-MAX_CONCURRENT_READS = 32  # of health reports
-DETECTOR_LEASE_PREFIX = "drains/"  # of the lease's task; the group's name follows
-UNLOGGED_STEPS = ("note", "left")  # steps of a rollout that only record progress
-FAILED_STEPS = ("worse", "hold")
+# All events of an agent are logged under one name.
+logger = logging.getLogger("rosepick.coordination.agent_driver")
+MAX_CONCURRENT_READS = 32  # health reports read at a time
+DETECTOR_LEASE_PREFIX = "drains/"  # the task of the lease is this prefix and the group's name
+UNLOGGED_STEPS = ("note", "left")  # actions of rollout steps that only record progress
+FAILED_STEPS = ("worse", "hold")  # actions of rollout steps that are logged as errors
 
 
 class DetectorDriver:
-    """Waits for the detector's lease; while it holds it, publishes health summaries and advances rollouts."""
+    """Waits for the detector's lease; while it is held, publishes health summaries and advances rollouts."""
 
     def __init__(self, client: QuorumClient, agent: Agent, config: AgentDriverConfig) -> None:
         self._client = client
@@ -44,7 +45,7 @@
     # -- the lease
 
     def update_lease(self) -> None:
-        """Wait for the lease if this member is a candidate, and release it once the member is evicted."""
+        """Wait for the lease if this member is a candidate, and release it when the member is evicted."""
         state = self._agent.fleet_state
         holder = self._lease_holder
         name = self._agent.name
@@ -83,7 +84,7 @@
     # -- health
 
     def _read_reports(self, detector: FailureDetector) -> None:
-        """Read the reports of all members, a limited number at a time, and publish the summary."""
+        """Read the reports of all members, `MAX_CONCURRENT_READS` at a time, and publish the summary."""
         state = self._agent.fleet_state
         if detector is not self._detector or state is None:
             return
@@ -119,7 +120,7 @@
             self._leader.add_report(name, report)
 
     def _publish_summary(self, detector: FailureDetector) -> None:
-        """Write the summary under the lease's token, if the lease is valid; older tokens are rejected."""
+        """Write the summary with the lease's token if the lease is valid; lower tokens are rejected."""
         self._loop.call_after(self._config.report_interval_ms, lambda: self._read_reports(detector))
         holder = self._lease_holder
         state = self._agent.fleet_state
@@ -160,7 +161,7 @@
         )
 
     def _advance_rollout(self, outcome: OperationOutcome) -> None:
-        """Take the next step of the rollout that was read, if there is one and the lease is still valid."""
+        """Take the next step of the rollout, if there is one and the lease is still valid."""
         holder = self._lease_holder
         state = self._agent.fleet_state
         leader = self._leader
--- a/rosepick/coordination/lease_holder.py
+++ b/rosepick/coordination/lease_holder.py
@@ -1,4 +1,4 @@
-"""Holds a lease: runs the operations of a `LeaseClient` against the quorum, and reports its state changes."""
+"""Holds a lease: runs the operations of a `LeaseClient` on the quorum, and reports its state changes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .quorum_client import QuorumClient
 
 logger = logging.getLogger(__name__)
-OPERATION_TIMEOUT_SHARE = 0.25  # of the lease's time to live
+OPERATION_TIMEOUT_SHARE = 0.25  # share of the lease's time to live
 MIN_OPERATION_TIMEOUT_MS = 300.0
 MAX_WAKEUP_INTERVAL_MS = 100.0
 MIN_WAKEUP_INTERVAL_MS = 1.0
@@ -24,7 +24,7 @@
     """Waits for one lease and renews it.
 
     `on_change` is called with the value of each new `LeaseState`, and with "doubt" when a held lease may
-    expire.
+    expire because renewals have failed.
     """
 
     def __init__(
@@ -45,16 +45,16 @@
         self._advance()
 
     def may_act(self) -> bool:
-        """Return whether a step may be taken now; to be called before each step."""
+        """Return whether a step of work is allowed now; the caller checks this before each step."""
         return self.lease_client.may_act(self.loop.now())
 
     def release(self, successor: str = "") -> None:
-        """Release the lease, to `successor` if it waits; the holder's work has stopped."""
+        """Release the lease, to `successor` if it is waiting; the caller has stopped its work before."""
         self.lease_client.release(successor)
         self._advance()
 
     def _advance(self) -> None:
-        """Run the next operation, if there is one, and schedule the next call."""
+        """Run the next operation, if one is due, and schedule the next call."""
         if self._timer is not None:
             self._timer.cancel()
         now = self.loop.now()
@@ -108,7 +108,7 @@
 
 
 def release_leases(loop: EventLoop, holders: list[LeaseHolder], timeout_ms: float) -> None:
-    """Release all leases and run the loop until they are released, or for `timeout_ms` milliseconds."""
+    """Release all leases and run the loop until they are released, for at most `timeout_ms` milliseconds."""
     for holder in holders:
         holder.release()
     deadline = loop.now() + timeout_ms
--- a/rosepick/coordination/leased_command.py
+++ b/rosepick/coordination/leased_command.py
@@ -1,4 +1,4 @@
-"""Runs a command while a lease is held: started on acquisition, terminated once the lease is in doubt."""
+"""Runs a command while a lease is held: starts it on acquisition, terminates it if the lease is in doubt."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 EXIT_LEASE_IN_DOUBT = 76
 EXIT_COMMAND_NOT_STARTED = 127
 EXIT_SIGNAL_BASE = 128  # plus the signal's number, as in a shell
-POLL_INTERVAL_MS = 20.0  # between two checks of the command
-TERMINATION_GRACE_SHARE = 0.5  # of the lease's remaining time: between SIGTERM and SIGKILL
+POLL_INTERVAL_MS = 20.0  # interval between two checks of the command
+TERMINATION_GRACE_SHARE = 0.5  # share of the lease's remaining time between SIGTERM and SIGKILL
 RELEASE_TIMEOUT_MS = 2_000.0
-PR_SET_PDEATHSIG = 1  # of Linux, prctl(2)
+PR_SET_PDEATHSIG = 1  # constant of Linux, see prctl(2)
 
 
-def _die_with_parent(parent_pid: int) -> None:
-    """Have the kernel kill this new process when the program that started it dies, however it dies.
+def _set_parent_death_signal(parent_pid: int) -> None:
+    """Make the kernel kill this process when its parent dies, whatever the cause of death.
 
-    It runs between fork and exec. Processes that the command starts itself are not covered.
+    This runs between fork and exec. Processes that the command starts are not covered.
     """
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, int(signal.SIGKILL), 0, 0, 0)
     if os.getppid() != parent_pid:
@@ -41,7 +41,7 @@
 
 
 class LeasedCommand:
-    """Acquires a lease, runs a command and releases the lease, to `successor` if it waits."""
+    """Acquires a lease, runs a command and releases the lease, to the client `successor` if it is waiting."""
 
     def __init__(self, holder: LeaseHolder, command: list[str], successor: str = "") -> None:
         self.quorum_client = holder.quorum_client
@@ -50,12 +50,12 @@
         self.loop: EventLoop = holder.loop  # type: ignore[assignment]
         self.holder = holder
         self.process: subprocess.Popen[bytes] | None = None
-        self._received_signal: int | None = None  # by this process
+        self._received_signal: int | None = None  # latest signal to this process that is not handled yet
 
     def run(self, wait_timeout_ms: float | None) -> int:
-        """Return the command's exit status, or one of the `EXIT_...` constants if it did not run to its end.
+        """Run the command; return its exit status, or an `EXIT_...` constant if it did not run to its end.
 
-        `wait_timeout_ms` limits the wait for the lease; None waits for ever.
+        `wait_timeout_ms` limits the wait for the lease in milliseconds; None waits without a limit.
         """
         handlers: dict[int, Callable[[], None]] = {
             number: partial(self._on_signal, number) for number in (signal.SIGTERM, signal.SIGINT)
@@ -71,7 +71,7 @@
         self._received_signal = signal_number
 
     def _wait_for_lease(self, wait_timeout_ms: float | None) -> int | None:
-        """Wait until the lease is held; return an exit status if that does not happen."""
+        """Wait until the lease is held; return an exit status if it is not acquired."""
         lease_client = self.holder.lease_client
         started_at = self.loop.now()
         while lease_client.state is LeaseState.WAITING or not self.holder.may_act():
@@ -103,7 +103,7 @@
                 self.command,
                 env=environment,
                 start_new_session=True,
-                preexec_fn=partial(_die_with_parent, os.getpid()),
+                preexec_fn=partial(_set_parent_death_signal, os.getpid()),
             )
         except OSError as error:
             log_event(logger, logging.ERROR, "command_start_failed", command=self.command[0], text=error)
@@ -124,11 +124,11 @@
                 self._signal_command(self._received_signal)
                 self._received_signal = None
         status = self.process.returncode
-        self._signal_command(signal.SIGKILL)  # processes that it left behind do not outlive the lease
+        self._signal_command(signal.SIGKILL)  # child processes of the command must not outlive the lease
         return status if status >= 0 else EXIT_SIGNAL_BASE - status
 
     def _terminate_command(self) -> int:
-        """Send SIGTERM at once, and SIGKILL while the lease is still valid."""
+        """Send SIGTERM now, and SIGKILL before the lease ends if the command is still running."""
         assert self.process is not None
         lease_client = self.holder.lease_client
         now = self.loop.now()
--- a/rosepick/coordination/process_stats.py
+++ b/rosepick/coordination/process_stats.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a process: its start time and its use of resources, from /proc."""
+"""Reads the start time and the resource usage of a process from /proc."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 NANOSECONDS_PER_SECOND = 1e9
 BYTES_PER_KIB = 1024.0
 ENDED_STATES = ("Z", "X")  # zombie, dead
-# fields of /proc/PID/stat (proc(5)), counted from the process's state
+# Indexes of fields in /proc/PID/stat (see proc(5)), counted from the process's state.
 STATE_FIELD = 0
 START_TIME_FIELD = 19
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """Processor time since the start of a process, and its resident memory now."""
+    """Holds the processor time of a process since its start, and its current resident memory."""
 
     cpu_s: float = 0.0
     memory_kib: float = 0.0
 
 
 def process_start_time(pid: int) -> str:
-    """Return the kernel's start time of a process, which no later process of the same id has.
+    """Return the kernel's start time of a process; empty if the process has ended.
 
-    It is empty if the process has ended.
+    A later process with the same id has another start time.
     """
     try:
         fields = Path(f"/proc/{pid}/stat").read_text("ascii").rsplit(")", 1)[1].split()
@@ -35,9 +35,10 @@
 
 
 def process_usage(pid: int) -> ProcessUsage:
-    """Return the resources that a process uses; zeros if it has ended.
+    """Return the resource usage of a process; zeros if it has ended.
 
-    Processor time is the scheduler's, in nanoseconds: ticks of 10 ms are too coarse for short intervals.
+    The processor time is the scheduler's, in nanoseconds: clock ticks of 10 ms are too coarse for short
+    intervals.
     """
     folder = Path(f"/proc/{pid}")
     try:
@@ -46,6 +47,6 @@
         cpu_ns = sum(int(text.split()[0]) for text in tasks)
     except (OSError, IndexError, ValueError):
         return ProcessUsage()
-    if not process_start_time(pid):  # a zombie, which keeps its times until it is reaped
+    if not process_start_time(pid):  # a zombie keeps its processor time until it is reaped
         return ProcessUsage()
     return ProcessUsage(cpu_ns / NANOSECONDS_PER_SECOND, pages * os.sysconf("SC_PAGE_SIZE") / BYTES_PER_KIB)
--- a/rosepick/coordination/quorum_client.py
+++ b/rosepick/coordination/quorum_client.py
@@ -1,7 +1,7 @@
-"""Client of the quorum: runs reads, changes and reconfigurations against the replicas.
+"""The client of the quorum: runs reads, changes and reconfigurations on the replicas.
 
-It performs the I/O and the retries for the proposers of `consensus`, which have neither sockets nor clocks.
-Times are milliseconds of the loop's clock unless a name says otherwise.
+It does the I/O and the retries for the proposers of `consensus`, which have neither sockets nor clocks. Times
+are milliseconds of the loop's clock unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -33,29 +33,29 @@
 )
 
 logger = logging.getLogger(__name__)
-# How long a client leaves a sealed epoch to the one who sealed it, before it completes the step itself.
+# How long a client waits for the reconfiguration that sealed an epoch, before it completes it itself.
 SEALED_EPOCH_GRACE_MS = 1_000.0
-STATUS_POLL_INTERVAL_MS = 200.0  # the shortest time between two reads of the replicas' status
-MAX_REPLY_CALLBACKS = 64  # the oldest callback of `send_to_all` is dropped beyond that
+STATUS_POLL_INTERVAL_MS = 200.0  # minimum interval between two reads of the replicas' status
+MAX_REPLY_CALLBACKS = 64  # above this limit, `send_to_all` drops the oldest callback
 MAX_QUORUM_CONNECTION_DESCRIPTORS = 1024
 QuorumReplyCallback = Callable[[str, messages.QuorumReply], None]
 
 
 class TimerScheduler(Protocol):
-    """The part of an event loop that the client needs; simulations have another implementation."""
+    """Is the part of an event loop that the client uses; simulations have another implementation."""
 
     def now(self) -> float:
         """Return the time in milliseconds; it never goes backwards."""
 
     def call_at(self, at_ms: float, callback: Callable[[], None]) -> ScheduledCall:
-        """Call `callback` at that time or soon after."""
+        """Call `callback` at `at_ms` or soon after."""
 
     def call_after(self, delay_ms: float, callback: Callable[[], None]) -> ScheduledCall:
-        """Call `callback` after that many milliseconds."""
+        """Call `callback` after `delay_ms` milliseconds."""
 
 
 class ReplicaConnection(Protocol):
-    """A connection to one replica; requests and replies may be lost."""
+    """Is a connection to one replica; requests and replies may be lost."""
 
     def send(self, request: messages.QuorumRequest) -> None:
         """Send a request."""
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SealedEpoch:
-    """An epoch that was found sealed, and until when it is left to the one who sealed it."""
+    """Holds an epoch that was found sealed, and the end of `SEALED_EPOCH_GRACE_MS` for it."""
 
     epoch: int
     grace_ends_at: float
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class ReplicaStatus:
-    """The last status that one replica reported."""
+    """Holds the latest status that one replica reported, and when it was received."""
 
     status: messages.StatusReply
     received_at: float = 0.0
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True)
 class QuorumClientCounters:
-    """Counters for operators and benchmarks."""
+    """Counts operations and their outcomes for operators and benchmarks."""
 
     operations: int = 0
     conflicts: int = 0
@@ -106,9 +106,9 @@
 
 
 class QuorumClient:
-    """Runs operations against a quorum of replicas.
+    """Runs operations on a quorum of replicas.
 
-    `rng` draws the client id, change ids and backoff delays.
+    `rng` draws the client id, change ids and retry delays.
     """
 
     def __init__(
@@ -124,10 +124,10 @@
         self.connections = connect(self._on_reply)
         self.quorum: messages.Quorum | None = None
         self.replica_statuses: dict[str, ReplicaStatus] = {}
-        self.found_two_fleets = False
+        self.has_fleet_id_mismatch = False
         self.counters = QuorumClientCounters()
         self._last_request_id = rng.getrandbits(40) << 8
-        # an ordered set: iteration in order of start makes runs reproducible
+        # An ordered set: iteration in the order of start makes simulations reproducible.
         self._operations: dict[RunningOperation, None] = {}
         self._reconfiguration: RunningReconfiguration | None = None
         self._status_polled_at = -STATUS_POLL_INTERVAL_MS
@@ -141,7 +141,7 @@
     ) -> str:
         """Read a register (`change` is None) or change it, and return the change id.
 
-        `on_outcome` is called once, after about `timeout_ms` milliseconds at the latest.
+        `on_outcome` is called once, at the latest after about `timeout_ms` milliseconds.
         """
         running = RunningOperation(self._new_proposer(key, change), on_outcome)
         self.counters.operations += 1
@@ -181,9 +181,9 @@
         members: tuple[messages.QuorumMember, ...] | None,
         on_finished: Callable[[QuorumReconfiguration], None],
     ) -> bool:
-        """Start to replace the quorum by `members`; None completes what another client has sealed.
+        """Start to replace the quorum by `members`; None completes the reconfiguration of another client.
 
-        Returns False if a reconfiguration is running already, or if the present quorum is not known.
+        Returns False if a reconfiguration is running already, or if the current quorum is not known.
         """
         if self._reconfiguration is not None or self.quorum is None:
             return False
@@ -196,13 +196,13 @@
         return True
 
     def poll_status(self) -> None:
-        """Ask all replicas for their status, and so for the present quorum."""
+        """Ask all replicas for their status, which includes the current quorum."""
         if self.loop.now() - self._status_polled_at >= STATUS_POLL_INTERVAL_MS:
             self._status_polled_at = self.loop.now()
             self.send_to_all(messages.StatusRequest, lambda _replica, _reply: None)
 
     def close(self) -> None:
-        """Close all connections and drop what is running, without outcomes."""
+        """Close all connections and drop all running operations without calling their callbacks."""
         for connection in self.connections.values():
             connection.close()
         for running in self._operations:
@@ -258,12 +258,12 @@
             self._finish_operation(running)
 
     def _unavailability_reason(self) -> str:
-        """Return why an operation has no outcome; empty if the quorum merely did not reply in time."""
-        if self.found_two_fleets:
-            return "the witnesses are of two fleets"
+        """Return why an operation has no outcome; empty if the quorum is known and did not reply in time."""
+        if self.has_fleet_id_mismatch:
+            return "the replicas belong to two fleets"
         if self.quorum is not None:
             return ""
-        return "no quorum is founded" if self.replica_statuses else "no witness answers"
+        return "no quorum is founded" if self.replica_statuses else "no reply from any replica"
 
     def _finish_operation(self, running: RunningOperation) -> None:
         self._operations.pop(running, None)
@@ -311,7 +311,7 @@
             self._schedule_retry(running, running.next_conflict_delay(self.rng))
 
     def _handle_wrong_epoch(self, reply: messages.WrongEpochReply) -> None:
-        """Adopt the later quorum of a reply, or reconfigure if the present epoch stays sealed."""
+        """Adopt the later quorum of a reply, or reconfigure if the current epoch stays sealed."""
         known = self.quorum
         self._adopt_quorum(reply.quorum)
         if self.quorum is not known or known is None or not reply.is_sealed or reply.quorum != known:
@@ -328,7 +328,7 @@
         if quorum is None:
             return
         if known is not None and quorum.fleet_id != known.fleet_id:
-            if not self.found_two_fleets:
+            if not self.has_fleet_id_mismatch:
                 log_event(
                     logger,
                     logging.ERROR,
@@ -336,7 +336,7 @@
                     fleet_id=known.fleet_id,
                     other_fleet_id=quorum.fleet_id,
                 )
-            self.found_two_fleets = True
+            self.has_fleet_id_mismatch = True
             return
         if known is None or quorum.epoch > known.epoch:
             self.quorum = quorum
--- a/rosepick/coordination/quorum_connection.py
+++ b/rosepick/coordination/quorum_connection.py
@@ -1,6 +1,6 @@
 """A TCP connection to one replica of the quorum.
 
-It is dialed when there is something to send, and again after it broke or stayed silent.
+It is dialed when there is a request to send, and again after it failed or received no reply for too long.
 """
 
 from __future__ import annotations
@@ -23,15 +23,17 @@
 
 logger = logging.getLogger(__name__)
 SocketAddress = tuple[str, int]
-# A connection without a reply for so long is closed: the other side may not know it any more.
+# A connection without a reply for this time is closed: the peer may have lost its end of the connection.
 SILENCE_TIMEOUT_MS = 1_500.0
-REDIAL_INTERVAL_MS = 60.0  # the shortest time between two dials
-MAX_PENDING_REQUESTS = 256  # that wait for the dial; older ones are dropped, as their senders retry
+REDIAL_INTERVAL_MS = 60.0  # minimum interval between two dials
+# Requests that wait until the connection is open; above this limit the oldest are dropped, because their
+# senders retry.
+MAX_PENDING_REQUESTS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaEndpoint:
-    """Where a replica listens, and the key that authenticates messages (empty: none)."""
+    """Holds a replica's name and address, and the key that authenticates messages (empty: none)."""
 
     name: str
     address: SocketAddress
@@ -39,7 +41,7 @@
 
 
 class QuorumConnection(OutboundConnection):
-    """Sends requests to one replica and hands over its replies, in whatever order they come."""
+    """Sends requests to one replica, and passes its replies to a callback in the order of their arrival."""
 
     def __init__(
         self,
@@ -58,7 +60,7 @@
         self._pending_frames: deque[bytes] = deque(maxlen=MAX_PENDING_REQUESTS)
         self._is_open = False
         self._dialed_at = -REDIAL_INTERVAL_MS
-        self._silent_since: float | None = None  # a request was sent then, and nothing received since
+        self._silent_since: float | None = None  # when the first request without a later reply was sent
         self._frame_decoder = FrameDecoder()
 
     def send(self, request: QuorumRequest) -> None:
@@ -130,12 +132,12 @@
 
 
 def check_key_present(endpoints: list[SocketAddress], key: bytes) -> str:
-    """Return why these addresses may not be used; empty if they may.
+    """Return why these addresses are not allowed; empty if they are.
 
-    Without a key, only addresses of this machine are allowed.
+    Without a key, only loopback addresses are allowed.
     """
     for host, port in endpoints:
         with contextlib.suppress(OSError):
             if not key and not socket.gethostbyname(host).startswith("127."):
-                return f"{host}:{port} is not of this machine: that needs a key file"
+                return f"{host}:{port} is not a loopback address: a key file is required"
     return ""
--- a/rosepick/coordination/running_operations.py
+++ b/rosepick/coordination/running_operations.py
@@ -1,4 +1,4 @@
-"""The operations and reconfigurations of a quorum client that are not finished, and when they are retried."""
+"""Holds the unfinished operations and reconfigurations of a quorum client, and schedules their retries."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 from ..consensus.reconfiguration import QuorumReconfiguration
 from ..net.event_loop import ScheduledCall
 
-# Retry of an operation or reconfiguration without a result: the delay is doubled (1.5 times for a
-# reconfiguration) after each retry, up to the maximum.
+# Delay before the first retry without a result. It grows by a factor of 2 with each retry of an operation,
+# and by a factor of 1.5 with each retry of a reconfiguration.
 INITIAL_RETRY_DELAY_MS = 150.0
 MAX_RETRY_DELAY_MS = 1_500.0
-# Retry after a ballot conflict: the delay is doubled after each one, and drawn between half and three times.
+# Backoff after a ballot conflict, doubled after each one. The delay is drawn between 0.5 and 3 times this.
 INITIAL_CONFLICT_BACKOFF_MS = 8.0
-# A proposer that waits much longer than the others meets a higher ballot at each retry.
+# With a longer backoff than its competitors, a proposer would find a higher ballot at each retry.
 MAX_CONFLICT_BACKOFF_MS = 250.0
 OutcomeCallback = Callable[[OperationOutcome], None]
 
 
 @dataclass(slots=True, eq=False)
 class RetryState:
-    """When something that is running is tried again."""
+    """Holds the retry delays and the retry timer of an operation or a reconfiguration."""
 
     retry_delay_ms: float = field(default=INITIAL_RETRY_DELAY_MS, kw_only=True)
     conflict_backoff_ms: float = field(default=INITIAL_CONFLICT_BACKOFF_MS, kw_only=True)
     retry_timer: ScheduledCall | None = field(default=None, kw_only=True)
 
     def cancel_retry(self) -> None:
-        """Cancel the retry that is scheduled, if there is one."""
+        """Cancel the scheduled retry, if there is one."""
         if self.retry_timer is not None:
             self.retry_timer.cancel()
 
     def next_conflict_delay(self, rng: random.Random) -> float:
-        """Draw the delay in milliseconds after a ballot conflict, and double the next one."""
+        """Draw the delay in milliseconds after a ballot conflict, and double the backoff."""
         delay_ms = self.conflict_backoff_ms * (0.5 + 2.5 * rng.random())
         self.conflict_backoff_ms = min(MAX_CONFLICT_BACKOFF_MS, 2.0 * self.conflict_backoff_ms)
         return delay_ms
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, eq=False)
 class RunningOperation(RetryState):
-    """A read or a change of a register that has no outcome yet."""
+    """Is a read or a change of a register that has no outcome yet."""
 
     proposer: Proposer
     on_outcome: OutcomeCallback
@@ -51,7 +51,7 @@
     is_started: bool = False
 
     def cancel_timers(self) -> None:
-        """Cancel the next retry and the deadline."""
+        """Cancel the scheduled retry and the deadline."""
         self.cancel_retry()
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, eq=False)
 class RunningReconfiguration(RetryState):
-    """A reconfiguration that is not finished yet."""
+    """Is a reconfiguration that is not finished yet."""
 
     reconfiguration: QuorumReconfiguration
     on_finished: Callable[[QuorumReconfiguration], None]
--- a/rosepick/coordination/supervised_process.py
+++ b/rosepick/coordination/supervised_process.py
@@ -1,6 +1,6 @@
-"""A member as a process of this machine: started, polled over its admin listener, drained and stopped.
+"""Runs a member as a process of this machine: starts, polls (over its admin listener), drains and stops it.
 
-The process outlives its agent, and a restarted agent finds it again by its id and start time.
+The process outlives its agent; a restarted agent finds it by its process id and start time.
 """
 
 from __future__ import annotations
@@ -32,26 +32,27 @@
 from .quorum_connection import SocketAddress
 
 logger = logging.getLogger(__name__)
-POLL_INTERVAL_MS = 150.0  # between two calls to the admin listener
+POLL_INTERVAL_MS = 150.0  # interval between two calls to the admin listener
 TELEMETRY_TIMEOUT_MS = 6.0 * POLL_INTERVAL_MS + ADMIN_TIMEOUT_MS  # older telemetry is ignored
-# between two starts of a member that ends by itself: doubled after each start, up to the maximum
-MIN_RESTART_PAUSE_MS = 500.0
-MAX_RESTART_PAUSE_MS = 30_000.0
-MIN_STABLE_RUN_MS = 10_000.0  # the pause is the shortest again after a run of that length
-STOP_TIMEOUT_MS = 15_000.0  # from SIGTERM to SIGKILL
+# Delay before the restart of a member that has exited by itself: doubled after each start, up to the maximum.
+MIN_RESTART_DELAY_MS = 500.0
+MAX_RESTART_DELAY_MS = 30_000.0
+MIN_STABLE_RUN_MS = 10_000.0  # the restart delay is reset to its minimum after a run of this length
+STOP_TIMEOUT_MS = 15_000.0  # time from SIGTERM to SIGKILL
 ADMIN_DESCRIPTORS = 64
 NEVER_MS = -1e9  # a time before all others
-REPORTED_FIGURES = ("served", "refused", "failed", "hits", "misses", "cpu", "memory", "door")
+REPORTED_METRICS = ("served", "refused", "failed", "hits", "misses", "cpu", "memory", "door")
 MIN_READS_FOR_HIT_RATIO = 30
-MIN_REQUESTS_PER_S_FOR_LOSS = 5.0  # fewer requests say nothing of the share that is lost
+MIN_REQUESTS_PER_S_FOR_LOSS = 5.0  # with fewer requests, the share of lost ones is not meaningful
 
 
 @dataclass(frozen=True, slots=True)
 class MemberProcessConfig:
-    """How a member's process is run.
+    """Says how a member's process is run.
 
-    `command` starts it (`{build}` is the build's path), and `log_path` gets its output. `admin_endpoint` is
-    the address of its admin listener. `max_loss_share` limits the share of refused and failed requests.
+    `command` starts it (`{build}` is the build's path), and its output is appended to `log_path`.
+    `admin_endpoint` is the address of its admin listener. `max_loss_share` is the limit of the share of
+    requests that are refused or failed.
     """
 
     kind: MemberKind
@@ -63,16 +64,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCounts:
-    """Counts of the telemetry, by name, and when they were read."""
+    """Holds the request counts of the telemetry, by name, and when they were read."""
 
     read_at: float
     counts: dict[str, float]
 
 
 class SupervisedProcess:
-    """A router or cache node that runs as a process of this machine.
+    """Manages a router or cache node that runs as a process of this machine.
 
-    `artifacts` holds its builds and settings if it takes part in rollouts, else it is None.
+    `artifacts` stores the member's builds and settings; it is None if the member takes no part in rollouts.
     """
 
     def __init__(
@@ -88,25 +89,25 @@
         self._artifacts = artifacts
         self._active_digests: Callable[[], dict[str, str]] = dict
         self._budget = ResourceBudget(ADMIN_DESCRIPTORS)
-        self._process: subprocess.Popen[bytes] | None = None  # None also if an earlier agent has started it
+        self._process: subprocess.Popen[bytes] | None = None  # None also if an earlier agent started it
         self._pid = int(state_file.get("pid") or 0)
-        self._process_started = str(state_file.get("began") or "")
+        self._process_start_time = str(state_file.get("began") or "")
         self._started_at = loop.now()
-        self._restart_pause_ms = MIN_RESTART_PAUSE_MS
+        self._restart_delay_ms = MIN_RESTART_DELAY_MS
         self._next_start_at = 0.0
         self._stop_requested_at: float | None = None
         self._exit_count = 0
         self._last_poll_at = -POLL_INTERVAL_MS
         self._poll_count = 0
-        self._call_is_open = False
+        self._is_admin_call_pending = False
         self._is_ready = False
         self._telemetry: dict[str, Any] = {}
         self._telemetry_at = NEVER_MS
         self._last_counts: RequestCounts | None = None
         self._rates: dict[str, float] = {}
-        self._reads: dict[str, float] = {}
+        self._read_counts: dict[str, float] = {}
         self._admin_latencies_ms: list[float] = []
-        self._cpu_used_s = 0.0  # at the last report
+        self._cpu_used_s = 0.0  # processor time of the process at the last report
         if self._is_alive():
             log_event(logger, logging.INFO, "member_adopted", pid=self._pid)
 
@@ -115,15 +116,15 @@
     def _is_alive(self) -> bool:
         if self._process is not None and self._process.poll() is not None:
             self._record_exit(self._process.returncode)
-        return bool(self._pid) and process_start_time(self._pid) == self._process_started
+        return bool(self._pid) and process_start_time(self._pid) == self._process_start_time
 
     def _record_exit(self, status: int) -> None:
         log_event(logger, logging.WARNING, "member_exited", status=status)
         now = self._loop.now()
         was_stopped = self._stop_requested_at is not None
         if now - self._started_at > MIN_STABLE_RUN_MS:
-            self._restart_pause_ms = MIN_RESTART_PAUSE_MS
-        self._next_start_at = now + (0.0 if was_stopped else self._restart_pause_ms)
+            self._restart_delay_ms = MIN_RESTART_DELAY_MS
+        self._next_start_at = now + (0.0 if was_stopped else self._restart_delay_ms)
         self._exit_count += not was_stopped
         self._process = None
         self._pid = 0
@@ -131,14 +132,14 @@
         self._is_ready = False
 
     def set_active_digests(self, active_digests: Callable[[], dict[str, str]]) -> None:
-        """Set the source of the digests that the member is to run, by kind of artifact."""
+        """Set the function that returns the digests that the member has to run, by kind of artifact."""
         self._active_digests = active_digests
         if self._artifacts is not None:
             self._artifacts.active_digests = active_digests
             self._artifacts.reload_member = lambda: self._signal(signal.SIGHUP)
 
     def apply_action(self, action: MemberAction) -> None:
-        """Start, drain, undrain or stop the process; called until its status shows it."""
+        """Start, drain, undrain or stop the process; called until its status shows the effect."""
         if action is MemberAction.START:
             self._start()
         elif action is MemberAction.STOP:
@@ -150,8 +151,8 @@
         now = self._loop.now()
         if self._is_alive() or now < self._next_start_at:
             return
-        self._restart_pause_ms = min(MAX_RESTART_PAUSE_MS, 2.0 * self._restart_pause_ms)
-        self._next_start_at = now + self._restart_pause_ms
+        self._restart_delay_ms = min(MAX_RESTART_DELAY_MS, 2.0 * self._restart_delay_ms)
+        self._next_start_at = now + self._restart_delay_ms
         self._started_at = now
         self._stop_requested_at = None
         self._is_ready = False
@@ -167,13 +168,13 @@
             return
         self._process = process
         self._pid = process.pid
-        self._process_started = process_start_time(process.pid)
+        self._process_start_time = process_start_time(process.pid)
         self._cpu_used_s = 0.0
-        self._state_file.put(pid=self._pid, began=self._process_started, ran=build)
+        self._state_file.put(pid=self._pid, began=self._process_start_time, ran=build)
         log_event(logger, logging.INFO, "member_started", pid=self._pid)
 
     def _spawn(self, command: list[str], environment: dict[str, str]) -> subprocess.Popen[bytes] | None:
-        """Return the new process; None, logged and counted, if it cannot be started."""
+        """Return the new process; if it cannot be started, log and count the failure and return None."""
         try:
             with self._config.log_path.open("ab") as output:
                 return subprocess.Popen(
@@ -207,8 +208,8 @@
     # -- the admin listener
 
     def _send_command(self, line: str) -> None:
-        if not self._call_is_open and self._is_alive():
-            self._call_is_open = True
+        if not self._is_admin_call_pending and self._is_alive():
+            self._is_admin_call_pending = True
             AdminCall(
                 self._loop,
                 self._budget,
@@ -219,9 +220,9 @@
 
     def _poll(self) -> None:
         now = self._loop.now()
-        if now - self._last_poll_at < POLL_INTERVAL_MS or self._call_is_open or not self._is_alive():
+        if now - self._last_poll_at < POLL_INTERVAL_MS or self._is_admin_call_pending or not self._is_alive():
             return
-        self._last_poll_at, self._call_is_open = now, True
+        self._last_poll_at, self._is_admin_call_pending = now, True
         self._poll_count += 1
         line = "telemetry" if self._poll_count % 2 else "readyz"
 
@@ -233,7 +234,7 @@
         AdminCall(self._loop, self._budget, self._config.admin_endpoint, line, handle_answer)
 
     def _handle_answer(self, line: str, text: str | None) -> None:
-        self._call_is_open = False
+        self._is_admin_call_pending = False
         if line == "readyz":
             self._is_ready = text is not None and text.startswith("OK")
         elif line == "telemetry":
@@ -244,7 +245,7 @@
                 self._telemetry_at = NEVER_MS
 
     def read_status(self) -> MemberStatus:
-        """Return the present status, and poll the admin listener if it is time."""
+        """Return the current status, and poll the admin listener if a poll is due."""
         is_running = self._is_alive()
         self._poll()
         is_fresh = is_running and self._loop.now() - self._telemetry_at < TELEMETRY_TIMEOUT_MS
@@ -260,7 +261,7 @@
             idle=bool(telemetry) and bool(telemetry.get("idle")),
             warm=self._config.kind is MemberKind.ROUTER or bool(telemetry.get("warm")),
             hit_ratio=self._hit_ratio(),
-            limit_violation=self._limit_violation(),
+            limit_violation=self._loss_limit_violation(),
             runs_wrong_build=is_running and self._state_file.get("ran") not in (None, expected_build),
             exit_count=self._exit_count,
         )
@@ -268,26 +269,26 @@
     # -- reports
 
     def _hit_ratio(self) -> float | None:
-        """Return the share of reads with a hit since the last report; None if there were too few."""
-        reads = self._reads.get("hits", 0.0) + self._reads.get("misses", 0.0)
-        return self._reads["hits"] / reads if reads >= MIN_READS_FOR_HIT_RATIO else None
+        """Return the share of hits in the reads before the last report; None if there were too few reads."""
+        reads = self._read_counts.get("hits", 0.0) + self._read_counts.get("misses", 0.0)
+        return self._read_counts["hits"] / reads if reads >= MIN_READS_FOR_HIT_RATIO else None
 
-    def _limit_violation(self) -> str:
-        """Return how the last report exceeds the limit of lost requests; empty if it does not."""
+    def _loss_limit_violation(self) -> str:
+        """Return how the rates of the last report exceed the limit of lost requests; empty if they do not."""
         requests = sum(self._rates.get(name, 0.0) for name in ("served", "refused", "failed"))
         lost = self._rates.get("refused", 0.0) + self._rates.get("failed", 0.0)
         limit = self._config.max_loss_share
         if requests > MIN_REQUESTS_PER_S_FOR_LOSS and lost > limit * requests:
-            return f"{lost / requests:.0%} of its requests are refused or failed, {limit:.0%} may be"
+            return f"{lost / requests:.0%} of its requests are refused or failed; the limit is {limit:.0%}"
         return ""
 
     def make_report(self, run_id: int, sequence: int) -> HealthReport:
-        """Return a health report; its figures are rates since the last one."""
+        """Return a health report; its metrics are rates since the last report."""
         status = self.read_status()
         self._update_rates()
         active_digests = self._active_digests()
         started_build = self._state_file.get("ran")
-        figures = {name: self._rates.get(name, 0.0) for name in REPORTED_FIGURES}
+        metrics = {name: self._rates.get(name, 0.0) for name in REPORTED_METRICS}
         report = HealthReport(
             run_id,
             sequence,
@@ -297,7 +298,7 @@
             settings=active_digests.get(SETTINGS, ""),
         )
         build = active_digests.get(BUILD, "") if started_build is None else str(started_build)
-        return msgspec.structs.replace(report, build=build, **figures)
+        return msgspec.structs.replace(report, build=build, **metrics)
 
     def _update_rates(self) -> None:
         now = self._loop.now()
@@ -310,12 +311,12 @@
                 name: max(0.0, count - previous.counts.get(name, 0.0)) for name, count in counts.items()
             }
             self._rates = {name: count / seconds for name, count in increases.items()}
-            self._reads = {name: increases[name] for name in ("hits", "misses")}
+            self._read_counts = {name: increases[name] for name in ("hits", "misses")}
             self._rates |= self._resource_usage(seconds)
         self._last_counts = RequestCounts(now, counts)
 
     def _resource_usage(self, seconds: float) -> dict[str, float]:
-        """Return the process's use of resources, and the median latency of its admin listener (ms)."""
+        """Return the resource usage of the process, and the median latency of its admin listener (ms)."""
         latencies_ms = sorted(self._admin_latencies_ms)
         self._admin_latencies_ms = []
         usage = process_usage(self._pid)
@@ -329,7 +330,7 @@
 
 
 def _request_counts(telemetry: dict[str, Any]) -> dict[str, float]:
-    """Return the counts of a member's telemetry, over all classes of requests."""
+    """Return the request counts in a member's telemetry, summed over all request classes."""
     classes = [counts for counts in (telemetry.get("calls") or {}).values() if isinstance(counts, dict)]
     outcomes = {
         "served": sum(float(counts.get("success", 0)) for counts in classes),
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -273,7 +273,7 @@
     [
         (
             (QuorumMember("w1", "disk-w1"), QuorumMember("w2", "other"), QuorumMember("w3", "another")),
-            "one witness at a time",
+            "only one replica may join or leave at a time",
         ),
         (
             (QuorumMember("w1", "disk-w1"), QuorumMember("w1", "disk-w2"), QuorumMember("w3", "disk-w3")),
@@ -283,7 +283,7 @@
             (QuorumMember("w1", "disk-w1"), QuorumMember("w2", "disk-w1"), QuorumMember("w3", "disk-w3")),
             "twice",
         ),
-        ((), "0 witnesses"),
+        ((), "0 replicas"),
     ],
 )
 def test_member_changes_that_are_not_allowed(members: tuple[QuorumMember, ...], reason: str) -> None:
