--- a/tests/test_agent_state_file.py
+++ b/tests/test_agent_state_file.py
@@ -1,4 +1,4 @@
-"""The durable state of an agent while its disk fails: memory never has what the disk refused."""
+"""Tests an agent's state file while its disk fails: values whose write failed are not kept in memory."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @pytest.fixture
 def state(tmp_path: Path) -> AgentStateFile:
-    """A state with a phase and a permit; `reopened` closes it."""
+    """Return a state file with a phase and a permit; `reopened` closes it."""
     file = AgentStateFile(tmp_path)
     file.save(*OLD)
     return file
 
 
 def reopened(state: AgentStateFile, folder: Path) -> tuple[int, int]:
-    """What a process that starts now finds."""
+    """Return the phase and the permit that a newly started process would load."""
     state.close()
     again = AgentStateFile(folder)
     try:
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("call", ["json.dump", "os.fsync"])
-def test_what_was_refused_is_not_stored_with_the_next_write(
+def test_values_whose_write_failed_are_not_stored_by_the_next_write(
     state: AgentStateFile, tmp_path: Path, call: str
 ) -> None:
     with (
@@ -44,22 +44,22 @@
     ):
         state.save(*NEW)
     assert state.load() == OLD
-    state.put(version="v7")  # the disk is back
+    state.put(version="v7")  # the disk works again
     assert state.load() == OLD
     assert reopened(state, tmp_path) == OLD
 
 
-def test_memory_follows_the_disk_if_only_the_folder_cannot_be_synchronised(
+def test_new_values_are_kept_if_only_the_synchronisation_of_the_folder_fails(
     state: AgentStateFile, tmp_path: Path
 ) -> None:
-    """The file is replaced by then: a process that starts now finds the new one."""
-    real, calls = os.fsync, []
+    """The file has been replaced before: a newly started process would load the new values."""
+    real_fsync, calls = os.fsync, []
 
     def fsync(descriptor: int) -> None:
         calls.append(descriptor)
         if len(calls) == 2:
             raise IO_ERROR
-        real(descriptor)
+        real_fsync(descriptor)
 
     with (
         mock.patch("rosepick.coordination.agent_state_file.os.fsync", fsync),
@@ -70,8 +70,8 @@
     assert reopened(state, tmp_path) == NEW
 
 
-def test_a_kill_between_the_write_and_the_rename_keeps_the_old_file(
+def test_the_old_file_is_used_after_a_kill_between_the_write_and_the_rename(
     state: AgentStateFile, tmp_path: Path
 ) -> None:
-    (tmp_path / "agent.new").write_text('{"at": 2, "per')  # a torn write
+    (tmp_path / "agent.new").write_text('{"at": 2, "per')  # an incomplete write
     assert reopened(state, tmp_path) == OLD
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""Registers replicated by acceptors: frames, votes, operations, reconfiguration; all without sockets."""
+"""Tests replicated registers without sockets: frames, votes, operations and reconfiguration."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def write(text: str) -> RegisterChange:
-    """A change to some text."""
+    """Return a change that writes a text."""
     return lambda register: text.encode()
 
 
 class LocalQuorum:
-    """Acceptors in this process, with message loss by replica, and the proposers that use them."""
+    """Runs acceptors and proposers in this process; messages of chosen replicas are lost."""
 
     def __init__(self, names: tuple[str, ...] = NAMES) -> None:
         self.request_ids = itertools.count(1)
@@ -58,20 +58,20 @@
         command = RegisterCommand(key, change, change_id)
         return Proposer(self.quorum, command, ballots, lambda: next(self.request_ids))
 
-    def deliver(self, machine: Proposer | QuorumReconfiguration, requests: OutgoingRequests) -> None:
-        """Deliver requests and replies until none is left."""
+    def deliver(self, sender: Proposer | QuorumReconfiguration, requests: OutgoingRequests) -> None:
+        """Deliver requests and their replies until the sender has no more requests."""
         while requests:
             replica, request = requests.pop(0)
             if replica in self.losing_requests or replica not in self.acceptors:
                 continue
             reply = self.acceptors[replica].handle(request).reply
             if replica not in self.losing_replies:
-                requests += machine.handle_reply(replica, reply)
+                requests += sender.handle_reply(replica, reply)
 
     def run(
         self, change: RegisterChange | None, proposer_id: int = 1, change_id: str = "a"
     ) -> OperationOutcome:
-        """One operation, retried up to five times."""
+        """Run one operation with at most five retries."""
         proposer = self.proposer(change, proposer_id, change_id)
         self.deliver(proposer, proposer.start())
         for _ in range(5):
@@ -93,7 +93,7 @@
         (lambda frame: codec.encode_frame(m.AcceptReply(1, "disk"), KEY), "malformed"),
     ],
 )
-def test_a_bad_frame_is_rejected_with_its_reason(corrupt: Callable[[bytes], bytes], reason: str) -> None:
+def test_an_invalid_frame_is_rejected_with_its_reason(corrupt: Callable[[bytes], bytes], reason: str) -> None:
     frame = corrupt(codec.encode_frame(m.ReadRequest(7, "fleet", 1, "k"), KEY))
     with pytest.raises(codec.DecodeError, match=f"^{reason} frame: ") as caught:
         for complete_frame in codec.FrameDecoder().feed(frame):
@@ -111,7 +111,7 @@
     ] == messages and not decoder.has_partial_frame()
 
 
-def test_the_next_read_sees_a_change_and_rejected_changes_do_nothing() -> None:
+def test_a_read_returns_the_latest_change_and_a_rejected_change_has_no_effect() -> None:
     quorum = LocalQuorum()
     assert quorum.run(None).register == Register()
     outcome = quorum.run(write("one"), change_id="m1")
@@ -147,7 +147,7 @@
     assert quorum.run(None, proposer_id=3).register.change_id == "m2"
 
 
-def test_anothers_unfinished_change_is_finished_and_its_proposer_learns_that_the_outcome_is_unknown() -> None:
+def test_an_unfinished_change_is_completed_by_the_next_proposer_and_its_own_outcome_is_unknown() -> None:
     quorum = LocalQuorum()
     interrupted = quorum.proposer(write("lost"), proposer_id=5, change_id="lost")
     accepts: OutgoingRequests = []
@@ -156,25 +156,25 @@
         accepts = accepts or interrupted.handle_reply(replica, reply)
     quorum.acceptors["w1"].handle(accepts[0].request)
     quorum.losing_requests = {"w3"}
-    # the version after that of the unfinished change
+    # version 1 is the unfinished change
     assert quorum.run(write("next"), proposer_id=6, change_id="next").register.version == 2
     assert quorum.run(write("more"), proposer_id=6, change_id="more").register.version == 3
-    for _ in range(2):  # the first retry learns of higher ballots
+    for _ in range(2):  # the first retry finds higher ballots
         quorum.deliver(interrupted, interrupted.retry())
     assert interrupted.outcome is not None and interrupted.outcome.kind is OutcomeKind.UNKNOWN
 
 
-def test_a_ballot_for_two_values_is_refused() -> None:
+def test_a_ballot_cannot_be_used_for_two_values() -> None:
     acceptor = LocalQuorum().acceptors["w1"]
     accept = m.AcceptRequest(1, "fleet", 1, "k", Ballot(1, 1), Register(1, "a", b"x"))
     assert isinstance(acceptor.handle(accept).reply, m.AcceptReply)
     other_value = m.AcceptRequest(2, "fleet", 1, "k", Ballot(1, 1), Register(1, "b", b"y"))
     assert isinstance(acceptor.handle(other_value).reply, m.UnavailableReply)
-    assert isinstance(acceptor.handle(accept).reply, m.AcceptReply)  # the same value once more
+    assert isinstance(acceptor.handle(accept).reply, m.AcceptReply)  # the same value again is accepted
 
 
 def restart(quorum: LocalQuorum, name: str, state: AcceptorState) -> Acceptor:
-    """Start an acceptor on a stored state."""
+    """Start an acceptor from a stored state, with a new run id."""
     quorum.acceptors[name] = Acceptor(name, state, "another run")
     return quorum.acceptors[name]
 
@@ -182,7 +182,7 @@
 def run_restart_check(
     quorum: LocalQuorum, name: str, others: tuple[str, ...], wait_for_all: bool = False
 ) -> Acceptor:
-    """Announce an acceptor's start to others, and take their replies."""
+    """Announce an acceptor's start to others, and pass it their replies."""
     acceptor = quorum.acceptors[name]
     for other in others:
         request = acceptor.make_restart_check(1)
@@ -196,15 +196,15 @@
 @pytest.mark.parametrize(
     ("start_count", "others", "wait_for_all", "is_voting", "is_stale_copy"),
     [
-        (5, ("w1",), False, True, False),  # enough for a majority with it
-        (5, ("w1",), True, False, False),  # but the others still have time to reply
+        (5, ("w1",), False, True, False),  # a majority with the replica itself
+        (5, ("w1",), True, False, False),  # the grace period has not ended: all others have to reply
         (5, ("w1", "w2"), True, True, False),
         (5, (), False, False, False),
         (4, ("w1",), False, False, True),  # the others know of another fourth start
         (2, ("w2", "w1"), False, False, True),
     ],
 )
-def test_a_replica_votes_only_after_its_start_is_known_to_others(
+def test_a_replica_votes_only_after_enough_others_know_of_its_start(
     start_count: int, others: tuple[str, ...], wait_for_all: bool, is_voting: bool, is_stale_copy: bool
 ) -> None:
     quorum = LocalQuorum()
@@ -216,11 +216,11 @@
     assert (acceptor.is_voting, acceptor.is_stale_copy) == (is_voting, is_stale_copy)
 
 
-def test_the_next_quorum_has_all_chosen_values_and_the_old_one_decides_nothing() -> None:
+def test_the_next_quorum_has_all_chosen_values_and_the_old_quorum_chooses_no_more() -> None:
     quorum = LocalQuorum()
     quorum.run(write("first"), change_id="first")
     old_quorum = quorum.quorum
-    quorum.acceptors["w3"] = Acceptor("w3", AcceptorState("new disk"), "run")  # its folder was emptied
+    quorum.acceptors["w3"] = Acceptor("w3", AcceptorState("new disk"), "run")  # the folder of w3 was emptied
     members = (*old_quorum.members[:2], QuorumMember("w3", "new disk"))
     assert not check_member_change(old_quorum, members)
     reconfiguration = QuorumReconfiguration(
@@ -239,7 +239,7 @@
     assert late.outcome is not None and late.outcome.register.version == 2
     quorum.quorum = reconfiguration.successor.quorum
     quorum.losing_requests = {"w1"}
-    assert quorum.run(None).register.change_id == "late"  # by a majority with the new storage
+    assert quorum.run(None).register.change_id == "late"  # read from a majority that includes the new storage
 
 
 def test_concurrent_reconfigurations_agree_on_one_quorum_and_a_lagging_replica_catches_up() -> None:
@@ -258,7 +258,10 @@
     quorum.losing_requests = {"w3"}
     for reconfiguration in reconfigurations:
         quorum.deliver(reconfiguration, reconfiguration.start())
-    results = [one.successor.quorum if one.successor else one.later_quorum for one in reconfigurations]
+    results = [
+        reconfiguration.successor.quorum if reconfiguration.successor else reconfiguration.later_quorum
+        for reconfiguration in reconfigurations
+    ]
     assert results[0] == results[1] and results[0] is not None
     quorum.losing_requests = set()
     lagging = quorum.acceptors["w3"]
@@ -286,11 +289,13 @@
         ((), "0 replicas"),
     ],
 )
-def test_member_changes_that_are_not_allowed(members: tuple[QuorumMember, ...], reason: str) -> None:
+def test_a_member_change_that_is_not_allowed_is_refused_with_its_reason(
+    members: tuple[QuorumMember, ...], reason: str
+) -> None:
     assert reason in check_member_change(LocalQuorum().quorum, members)
 
 
-def test_registers_and_values_are_bounded() -> None:
+def test_the_number_of_registers_and_the_size_of_values_are_limited() -> None:
     acceptor = LocalQuorum().acceptors["w1"]
     large = Register(1, "a", bytes(m.MAX_VALUE_BYTES + 1))
     accept = m.AcceptRequest(1, "fleet", 1, "k", Ballot(1, 1), large)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: client, record, fencing guard, stores and the fleet's file; and commands on real processes."""
+"""Tests leases: client, record, fencing guard, stores, the fleet file, and commands on real processes."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 class InMemoryRegister:
-    """One register, as a quorum would keep it."""
+    """Holds one register and applies operations to it like a quorum."""
 
     def __init__(self) -> None:
         self.register = Register()
 
     def run(self, operation: LeaseOperation) -> OperationOutcome:
-        """Read or change it."""
+        """Run a read or a change on the register."""
         if operation.change is not None:
             try:
                 value = operation.change(self.register)
@@ -50,36 +50,40 @@
         return OperationOutcome(OutcomeKind.UNCHANGED, self.register)
 
     def change(self, change: RegisterChange) -> None:
-        """Apply the change of somebody else."""
+        """Apply a change by another client."""
         self.run(LeaseOperation("k", change))
 
     @property
     def record(self) -> LeaseRecord:
-        """The lease that it holds."""
+        """Return the lease record in the register."""
         return lease_record.decode_record(self.register)
 
 
 def make_client(name: str, owner_id: int) -> LeaseClient:
-    """A client whose random numbers are all 0.5."""
+    """Return a client whose random numbers are all 0.5."""
     return LeaseClient("task", name, owner_id, CONFIG, lambda: 0.5)
 
 
 def step(
-    client: LeaseClient, register: InMemoryRegister, now: float, takes: float = 1.0, is_lost: bool = False
+    client: LeaseClient,
+    register: InMemoryRegister,
+    now: float,
+    duration_ms: float = 1.0,
+    is_lost: bool = False,
 ) -> None:
-    """Run the client's next operation, if there is one; the outcome comes after `takes` milliseconds."""
+    """Run the client's next operation, if one is due; the outcome arrives `duration_ms` later."""
     operation = client.next_operation(now)
     if operation is not None:
         outcome = register.run(operation)
         if is_lost:
             outcome = OperationOutcome(OutcomeKind.UNKNOWN)
-        client.handle_outcome(now + takes, outcome)
+        client.handle_outcome(now + duration_ms, outcome)
 
 
 def run_until(
     client: LeaseClient, register: InMemoryRegister, now: float, state: LeaseState, end: float
 ) -> float:
-    """Run the client in steps of 10 ms until it is in a state, and return when that was."""
+    """Run the client in steps of 10 ms until it is in a state, and return the time after that."""
     while client.state is not state and now < end:
         step(client, register, now)
         now += 10.0
@@ -90,7 +94,7 @@
 def test_a_lease_counts_from_the_request_and_ends_before_another_client_may_acquire_it() -> None:
     register, first, second = InMemoryRegister(), make_client("a", 1), make_client("b", 2)
     step(first, register, 0.0)
-    step(first, register, 500.0, takes=400.0)  # requested at 500, granted in between, known at 900
+    step(first, register, 500.0, duration_ms=400.0)  # requested at 500, granted in between, known at 900
     assert first.state is LeaseState.HELD and first.token == 1
     end = 500.0 + CONFIG.holder_timeout_ms - SAFETY_MARGIN_SHARE * CONFIG.ttl_ms
     assert first.may_act(end - 1.0) and not first.may_act(end)
@@ -99,7 +103,7 @@
     assert acquired_at >= 601.0 + CONFIG.takeover_timeout_ms(CONFIG.ttl_ms) and second.token == 2
     assert not first.may_act(acquired_at) and first.state is LeaseState.HELD
     first.next_operation(acquired_at)
-    assert not first.is_in_doubt(acquired_at)  # it is lost, not in doubt
+    assert not first.is_in_doubt(acquired_at)  # its time is over: it is lost, not in doubt
 
 
 def test_a_failed_renewal_is_retried_and_puts_the_lease_in_doubt() -> None:
@@ -123,7 +127,7 @@
     else:
         register.change(lease_record.acquire(register.record, 7, "b", 10_000.0))
     run_until(client, register, 1_000.0, LeaseState.LOST, 9_000.0)
-    # what it has started still has that long
+    # the next holder waits for the end of work that was started before
     assert not client.may_act(5_000.0) and client.remaining_ms(4_000.0) > 3_000.0
     assert register.record.token == 2 and register.record.is_held
 
@@ -140,9 +144,9 @@
 def test_a_grant_whose_reply_was_lost_is_held_from_a_renewal_on() -> None:
     register, client = InMemoryRegister(), make_client("a", 1)
     step(client, register, 0.0)
-    step(client, register, 100.0, is_lost=True)  # granted, and nobody knows when
-    step(client, register, 1_000.0)  # the grant is found ...
-    for now in (1_001.0, 2_000.0, 3_000.0):  # ... and replies to renewals are lost for long
+    step(client, register, 100.0, is_lost=True)  # granted, but the reply with the outcome is lost
+    step(client, register, 1_000.0)  # the client reads the record and finds the grant
+    for now in (1_001.0, 2_000.0, 3_000.0):  # the replies to renewals are lost
         step(client, register, now, is_lost=True)
         assert client.state is LeaseState.WAITING and not client.may_act(now)
     assert register.record.renewal_count == 3
@@ -150,7 +154,7 @@
     assert client.token == 1 and client.renewal_count == 1 and client.may_act(5_000.0)
 
 
-def test_the_queue_is_served_in_order_and_dead_clients_are_passed_over() -> None:
+def test_the_queue_is_served_in_order_and_dead_clients_are_skipped() -> None:
     register, holder = InMemoryRegister(), make_client("a", 1)
     run_until(holder, register, 0.0, LeaseState.HELD, 1_000.0)
     waiting = [make_client(name, owner_id) for name, owner_id in (("b", 2), ("c", 3), ("d", 4))]
@@ -166,7 +170,7 @@
     assert [waiter.name for waiter in register.record.queue] == ["b", "c"]
     waiting[2].release()
     step(waiting[2], register, 4_000.0)
-    started_at = 4_100.0  # b has died: c acquires the lease, somewhat later
+    started_at = 4_100.0  # b has died: c acquires the lease after b's turn
     assert run_until(waiting[1], register, started_at, LeaseState.HELD, 6_000.0) <= started_at + 1_000.0
     assert register.record.queue == () and register.record.token == 3
 
@@ -179,26 +183,28 @@
     client.release()
     run_until(client, register, 2_000.0, LeaseState.ENDED, 4_000.0)
     assert register.record.queue == ()
-    restarted = make_client("a", 9)  # the holder's name, started anew within its lease
+    restarted = make_client("a", 9)  # the holder, restarted within its lease
     acquired_at = run_until(restarted, register, 2_000.0, LeaseState.HELD, 30_000.0)
     assert acquired_at >= 2_000.0 + CONFIG.takeover_timeout_ms(CONFIG.ttl_ms)
 
 
-def test_after_an_hours_sleep_a_holder_may_not_act_and_a_waiting_client_reads_the_record_anew() -> None:
+def test_after_an_hour_of_sleep_a_holder_may_not_act_and_a_waiting_client_reads_the_record_again() -> None:
     register, holder, other = InMemoryRegister(), make_client("a", 1), make_client("b", 2)
     run_until(holder, register, 0.0, LeaseState.HELD, 1_000.0)
     step(other, register, 1_000.0)
-    register.change(lease_record.renew(1, 1, CONFIG.ttl_ms))  # renewed while the other slept
+    register.change(lease_record.renew(1, 1, CONFIG.ttl_ms))  # renewed while the other client was asleep
     hour = 3_600_000.0
     assert not holder.may_act(hour)
     step(other, register, hour)
-    assert other.state is LeaseState.WAITING  # what it had read was old: it may not acquire the lease by it
+    assert (
+        other.state is LeaseState.WAITING
+    )  # the record that it knew was outdated, so the acquisition was rejected
     acquired_at = run_until(other, register, hour + 10.0, LeaseState.HELD, hour + 30_000.0)
     assert acquired_at >= hour + CONFIG.ttl_ms
 
 
 class InMemoryTokenStore:
-    """Fencing tokens in memory; `is_full` makes every save fail like a full disk."""
+    """Stores fencing tokens in memory; with `is_full`, each save fails like on a full disk."""
 
     def __init__(self, is_full: bool = False) -> None:
         self.tokens: dict[str, int] = {}
@@ -230,7 +236,7 @@
         FencingGuard(InMemoryTokenStore(is_full=True)).accepts("a", 1)
 
 
-def test_stores_outlive_their_process_and_a_folder_belongs_to_one_process(tmp_path: Path) -> None:
+def test_stored_state_survives_a_restart_and_a_folder_is_locked_by_one_process(tmp_path: Path) -> None:
     tokens = SqliteFencingTokenStore(tmp_path / "guard")
     tokens.save_token("task", 7)
     with pytest.raises(StoreError, match="another process"):
@@ -266,7 +272,7 @@
         ("witnesses = [\n", "fleet.toml"),
     ],
 )
-def test_errors_in_the_fleet_file_are_named(tmp_path: Path, text: str, fault: str) -> None:
+def test_an_error_in_the_fleet_file_is_reported_with_its_key(tmp_path: Path, text: str, fault: str) -> None:
     path = tmp_path / "fleet.toml"
     path.write_text(text)
     with pytest.raises(fleet_file.FleetFileError, match=fault):
@@ -274,7 +280,7 @@
 
 
 class FleetProcesses:
-    """Three replicas as processes, and commands on them."""
+    """Runs three replicas as processes, and commands that use them."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -312,7 +318,7 @@
         return process.returncode, process.stdout + process.stderr
 
     def run_until(self, status: int, *arguments: str) -> str:
-        """Repeat a command until it ends with that status, and return its output."""
+        """Repeat a command until it exits with `status`, and return its output."""
         for _ in range(60):
             last_status, text = self.run(*arguments)
             if last_status == status:
@@ -330,10 +336,10 @@
         process.wait()
 
 
-def test_leases_on_real_processes_from_founding_a_quorum_to_losing_it(fleet: FleetProcesses) -> None:
+def test_leases_on_real_processes_from_the_founding_of_a_quorum_to_its_loss(fleet: FleetProcesses) -> None:
     assert "no quorum" in fleet.run_until(69, "witness", "status")
     fleet.run_until(0, "witness", "found")
-    assert fleet.run("witness", "found")[0] == 77  # once only
+    assert fleet.run("witness", "found")[0] == 77  # a quorum can be founded only once
     status, text = fleet.run("lease", "run", "job", "--", "sh", "-c", "echo token $ROSEPICK_TOKEN; exit 7")
     assert status == 7 and "token 1" in text
     holder = fleet.start("lease", "run", "job", "--", "sleep", "60", log="holder")
@@ -343,11 +349,11 @@
             break
     assert record["token"] == 2
     assert fleet.run("lease", "run", "job", "--wait", "0.3", "--", "true")[0] == 75
-    assert fleet.run("lease", "release", "job")[0] == 2  # not without a reason
+    assert fleet.run("lease", "release", "job")[0] == 2  # a forced release needs a reason
     assert fleet.run("lease", "release", "job", "--force", "--why", "a test")[0] == 0
-    assert holder.wait(30) == 76  # its command was ended
+    assert holder.wait(30) == 76  # its command was terminated because the lease was lost
     assert "job" in fleet.run("lease", "list")[1]
-    # a folder is lost: its replica has a new storage, which a reconfiguration takes into the quorum
+    # the folder of w3 is lost: a reconfiguration replaces its storage in the quorum
     fleet.replicas["w3"].send_signal(signal.SIGKILL)
     fleet.replicas["w3"].wait()
     (fleet.folder / "w3").rename(fleet.folder / "gone")
--- a/tests/test_supervised_process.py
+++ b/tests/test_supervised_process.py
@@ -1,4 +1,4 @@
-"""A member's process: started, polled over its admin listener, adopted by a later agent, and stopped."""
+"""Tests a member's process: it is started, polled, adopted by a later agent, and stopped."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from rosepick.net.event_loop import EventLoop
 
 TIMEOUT_MS = 20_000.0
-MEMBER = """
+MEMBER_SCRIPT = """
 import json, socket, sys
 
 listener = socket.create_server(("127.0.0.1", 0))
@@ -35,17 +35,17 @@
 
 
 def run_until(loop: EventLoop, condition: Callable[[], bool]) -> None:
-    """Run the loop until a condition holds; fail if that takes too long."""
+    """Run the loop until a condition holds; fail after `TIMEOUT_MS`."""
     deadline = loop.now() + TIMEOUT_MS
     while not condition():
         assert loop.now() < deadline
         loop.step(0.02)
 
 
-def test_a_member_is_started_reported_adopted_and_stopped(tmp_path: Path) -> None:
+def test_a_member_is_started_adopted_reported_and_stopped(tmp_path: Path) -> None:
     loop = EventLoop(boottime_s)
     script = tmp_path / "member.py"
-    script.write_text(MEMBER)
+    script.write_text(MEMBER_SCRIPT)
     port_file = tmp_path / "port"
     command = [sys.executable, str(script), str(port_file)]
     state_file = AgentStateFile(tmp_path / "agent")
@@ -61,11 +61,11 @@
     member.apply_action(MemberAction.START)
     pid = int(state_file.get("pid"))
     run_until(loop, lambda: port_file.exists() and bool(port_file.read_text()))
-    # nothing listens on the port that was given: it runs, and does not serve
+    # nothing listens on the given admin port: the member is running but not serving
     assert member.read_status().running
     assert not member.read_status().serving
 
-    # a later agent finds the process again, here with the port that the member listens on
+    # a later agent adopts the process; it has the admin port that the member listens on
     adopted = supervise(int(port_file.read_text()))
     run_until(loop, lambda: adopted.read_status().serving)
     first = adopted.make_report(7, 1)
@@ -78,7 +78,7 @@
     assert second.memory > 0.0
     assert second.door > 0.0
 
-    # it is stopped as it was asked to be, which is no exit by itself
+    # an exit after STOP is not counted as an exit of the member by itself
     adopted.apply_action(MemberAction.STOP)
     assert adopted.read_status().stopping
     run_until(loop, lambda: not member.read_status().running and not adopted.read_status().running)
@@ -88,7 +88,7 @@
     state_file.close()
 
 
-def test_a_member_that_cannot_be_started_is_counted(tmp_path: Path) -> None:
+def test_a_failed_start_is_counted_as_an_exit(tmp_path: Path) -> None:
     loop = EventLoop(boottime_s)
     state_file = AgentStateFile(tmp_path / "agent")
     config = MemberProcessConfig(
@@ -101,7 +101,7 @@
     state_file.close()
 
 
-def test_a_process_that_has_ended_and_is_not_reaped_uses_nothing() -> None:
+def test_the_usage_of_a_zombie_process_is_zero() -> None:
     pid = os.posix_spawn("/bin/true", ["/bin/true"], {})
     try:
         os.waitid(os.P_PID, pid, os.WEXITED | os.WNOWAIT)
