--- a/rosepick/coordination/agent_driver.py
+++ b/rosepick/coordination/agent_driver.py
@@ -29,7 +29,7 @@
 TICK_MS = 100.0  # interval between two checks of the member
 # Minimum interval before a report that is sent early, because the state of the member has changed.
 CHANGE_REPORT_INTERVAL_MS = 2 * TICK_MS
-IDLE_ROLLOUT_POLL_MS = 2_000.0  # interval between two reads of the rollout state while no rollout is active
+IDLE_ROLLOUT_POLL_MS = 2_000.0  # between two reads of the rollout state without pending work
 
 
 class SupervisedMember(Protocol):
--- a/rosepick/coordination/leased_command.py
+++ b/rosepick/coordination/leased_command.py
@@ -128,7 +128,7 @@
         return status if status >= 0 else EXIT_SIGNAL_BASE - status
 
     def _terminate_command(self) -> int:
-        """Send SIGTERM now, and SIGKILL before the lease ends if the command is still running."""
+        """Send SIGTERM now, and SIGKILL before the lease ends."""
         assert self.process is not None
         lease_client = self.holder.lease_client
         now = self.loop.now()
