--- a/rosepick/consensus/acceptor.py
+++ b/rosepick/consensus/acceptor.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from . import messages as m
+from . import messages
 from .messages import NO_BALLOT, SUCCESSOR_KEY, Quorum, RefusalReason, RegisterState
 
 # Limit of `AcceptorState.known_starts`: each replaced replica leaves the entry of its old storage behind.
@@ -61,7 +61,7 @@
 class AcceptorResult(NamedTuple):
     """Holds the reply to a request and the changes that must be stored before the reply is sent."""
 
-    reply: m.QuorumReply
+    reply: messages.QuorumReply
     changes: StateChanges
 
 
@@ -78,7 +78,7 @@
 
     # -- restart check
 
-    def _other_members(self) -> list[m.QuorumMember]:
+    def _other_members(self) -> list[messages.QuorumMember]:
         if self.state.quorum is None:
             return []
         return [member for member in self.state.quorum.members if member.storage_id != self.state.storage_id]
@@ -92,12 +92,12 @@
         required = len(others) if wait_for_all else self.state.quorum.majority - 1
         return len(acknowledged) >= required
 
-    def make_restart_check(self, request_id: int) -> m.RestartCheckRequest | None:
+    def make_restart_check(self, request_id: int) -> messages.RestartCheckRequest | None:
         """Return the announcement of this start to all other members; None before the first epoch."""
         quorum = self.state.quorum
         if quorum is None:
             return None
-        return m.RestartCheckRequest(
+        return messages.RestartCheckRequest(
             request_id,
             quorum.fleet_id,
             self.state.storage_id,
@@ -106,7 +106,9 @@
             quorum.epoch,
         )
 
-    def handle_restart_check_reply(self, reply: m.RestartCheckReply, wait_for_all: bool) -> StateChanges:
+    def handle_restart_check_reply(
+        self, reply: messages.RestartCheckReply, wait_for_all: bool
+    ) -> StateChanges:
         """Record another replica's reply to the announcement of this start.
 
         Args:
@@ -134,7 +136,9 @@
         """Start voting if enough other members know of this start; a voting replica continues to vote."""
         self.is_voting = self.is_voting or self._has_enough_acknowledgements(wait_for_all)
 
-    def _handle_restart_check(self, request: m.RestartCheckRequest, changes: StateChanges) -> m.QuorumReply:
+    def _handle_restart_check(
+        self, request: messages.RestartCheckRequest, changes: StateChanges
+    ) -> messages.QuorumReply:
         known = self.state.known_starts.get(request.storage_id, _NEVER_STARTED)
         quorum = self.state.quorum
         missed_quorum: Quorum | None = None
@@ -146,7 +150,7 @@
                 # This is safe: it is as if the messages of this epoch had reached the sender only now.
                 missed_quorum = quorum
                 missed_states = dict(self.state.register_states)
-        return m.RestartCheckReply(
+        return messages.RestartCheckReply(
             request.request_id,
             self.state.storage_id,
             known.start_count,
@@ -156,7 +160,7 @@
         )
 
     def _record_start(
-        self, request: m.RestartCheckRequest, known: StorageStart, changes: StateChanges
+        self, request: messages.RestartCheckRequest, known: StorageStart, changes: StateChanges
     ) -> None:
         """Record an announced start that is later than the known one; a new storage only up to the limit."""
         is_known_storage = known.start_count > 0
@@ -169,30 +173,30 @@
 
     # -- requests
 
-    def handle(self, request: m.QuorumRequest, uptime_s: float = 0.0) -> AcceptorResult:
+    def handle(self, request: messages.QuorumRequest, uptime_s: float = 0.0) -> AcceptorResult:
         """Handle a request; the returned changes must be stored before the reply is sent."""
         changes = StateChanges()
         match request:
-            case m.StatusRequest():
+            case messages.StatusRequest():
                 return AcceptorResult(self._status_reply(request.request_id, uptime_s), changes)
-            case m.RestartCheckRequest():
+            case messages.RestartCheckRequest():
                 return AcceptorResult(self._handle_restart_check(request, changes), changes)
-            case m.InstallEpochRequest():
+            case messages.InstallEpochRequest():
                 return AcceptorResult(self._handle_install(request, changes), changes)
         refusal = self._refusal_reply(request)
         if refusal is not None:
             return AcceptorResult(refusal, changes)
         return AcceptorResult(self._handle_epoch_request(request, changes), changes)
 
-    def _refuse(self, request: m.QuorumMessage, reason: RefusalReason) -> m.UnavailableReply:
-        return m.UnavailableReply(request.request_id, self.state.storage_id, reason.value)
+    def _refuse(self, request: messages.QuorumMessage, reason: RefusalReason) -> messages.UnavailableReply:
+        return messages.UnavailableReply(request.request_id, self.state.storage_id, reason.value)
 
-    def _wrong_epoch_reply(self, request: m.QuorumMessage) -> m.WrongEpochReply:
-        return m.WrongEpochReply(
+    def _wrong_epoch_reply(self, request: messages.QuorumMessage) -> messages.WrongEpochReply:
+        return messages.WrongEpochReply(
             request.request_id, self.state.storage_id, self.state.quorum, self.state.is_sealed
         )
 
-    def _refusal_reply(self, request: m.EpochRequest) -> m.QuorumReply | None:
+    def _refusal_reply(self, request: messages.EpochRequest) -> messages.QuorumReply | None:
         """Return the reply that refuses a request; None if this replica may vote on the request."""
         quorum = self.state.quorum
         if quorum is not None and request.fleet_id != quorum.fleet_id:
@@ -202,10 +206,10 @@
         if quorum is None or request.epoch != quorum.epoch:
             return self._wrong_epoch_reply(request)
         is_for_successor = (
-            isinstance(request, m.PrepareRequest | m.AcceptRequest | m.ReadRequest)
+            isinstance(request, messages.PrepareRequest | messages.AcceptRequest | messages.ReadRequest)
             and request.key == SUCCESSOR_KEY
         )
-        if is_for_successor != self.state.is_sealed and not isinstance(request, m.SealEpochRequest):
+        if is_for_successor != self.state.is_sealed and not isinstance(request, messages.SealEpochRequest):
             return self._wrong_epoch_reply(request)
         return None
 
@@ -216,23 +220,25 @@
             return RefusalReason.NO_QUORUM
         return RefusalReason.RESTART_NOT_CHECKED
 
-    def _handle_epoch_request(self, request: m.EpochRequest, changes: StateChanges) -> m.QuorumReply:
+    def _handle_epoch_request(
+        self, request: messages.EpochRequest, changes: StateChanges
+    ) -> messages.QuorumReply:
         match request:
-            case m.PrepareRequest():
+            case messages.PrepareRequest():
                 return self._prepare(request, changes)
-            case m.AcceptRequest():
+            case messages.AcceptRequest():
                 return self._accept(request, changes)
-            case m.ReadRequest():
+            case messages.ReadRequest():
                 register_state = self._register_state(request.key)
-                return m.ReadReply(
+                return messages.ReadReply(
                     request.request_id,
                     self.state.storage_id,
                     register_state.accepted_ballot,
                     register_state.register,
                 )
-            case m.ListKeysRequest():
+            case messages.ListKeysRequest():
                 return self._list_keys(request)
-            case m.SealEpochRequest():
+            case messages.SealEpochRequest():
                 return self._seal(request, changes)
         return self._refuse(request, RefusalReason.UNKNOWN_REQUEST)
 
@@ -245,27 +251,31 @@
         self.state.register_states[key] = register_state
         changes.register_states[key] = register_state
 
-    def _prepare(self, request: m.PrepareRequest, changes: StateChanges) -> m.QuorumReply:
+    def _prepare(self, request: messages.PrepareRequest, changes: StateChanges) -> messages.QuorumReply:
         current = self._register_state(request.key)
         if request.ballot < current.promised_ballot:
-            return m.BallotConflictReply(request.request_id, self.state.storage_id, current.promised_ballot)
+            return messages.BallotConflictReply(
+                request.request_id, self.state.storage_id, current.promised_ballot
+            )
         is_new = request.key not in self.state.register_states
-        if is_new and len(self.state.register_states) >= m.MAX_REGISTERS:
+        if is_new and len(self.state.register_states) >= messages.MAX_REGISTERS:
             return self._refuse(request, RefusalReason.TOO_MANY_REGISTERS)
         if request.ballot > current.promised_ballot:
             promised = RegisterState(request.ballot, current.accepted_ballot, current.register)
             self._store_register(request.key, promised, changes)
-        return m.PromiseReply(
+        return messages.PromiseReply(
             request.request_id, self.state.storage_id, current.accepted_ballot, current.register
         )
 
-    def _accept(self, request: m.AcceptRequest, changes: StateChanges) -> m.QuorumReply:
+    def _accept(self, request: messages.AcceptRequest, changes: StateChanges) -> messages.QuorumReply:
         current = self._register_state(request.key)
         if request.ballot < current.promised_ballot:
-            return m.BallotConflictReply(request.request_id, self.state.storage_id, current.promised_ballot)
+            return messages.BallotConflictReply(
+                request.request_id, self.state.storage_id, current.promised_ballot
+            )
         # the successor's value contains all registers, so it is limited only by the size of a frame
-        is_too_large = len(request.register.value) > m.MAX_VALUE_BYTES and request.key != SUCCESSOR_KEY
-        if len(request.key) > m.MAX_KEY_LENGTH or is_too_large:
+        is_too_large = len(request.register.value) > messages.MAX_VALUE_BYTES and request.key != SUCCESSOR_KEY
+        if len(request.key) > messages.MAX_KEY_LENGTH or is_too_large:
             return self._refuse(request, RefusalReason.TOO_LARGE)
         if request.ballot == current.accepted_ballot and request.register != current.register:
             # A proposer has used one ballot for two values. The ballot must not choose the second one.
@@ -273,25 +283,27 @@
         if request.ballot > current.accepted_ballot:
             accepted = RegisterState(request.ballot, request.ballot, request.register)
             self._store_register(request.key, accepted, changes)
-        return m.AcceptReply(request.request_id, self.state.storage_id)
+        return messages.AcceptReply(request.request_id, self.state.storage_id)
 
-    def _list_keys(self, request: m.ListKeysRequest) -> m.ListKeysReply:
+    def _list_keys(self, request: messages.ListKeysRequest) -> messages.ListKeysReply:
         keys = tuple(
             key
             for key in self.state.register_states
             if key.startswith(request.key_prefix) and key != SUCCESSOR_KEY
         )
-        return m.ListKeysReply(request.request_id, self.state.storage_id, keys)
+        return messages.ListKeysReply(request.request_id, self.state.storage_id, keys)
 
     # -- epochs
 
-    def _seal(self, request: m.SealEpochRequest, changes: StateChanges) -> m.SealEpochReply:
+    def _seal(self, request: messages.SealEpochRequest, changes: StateChanges) -> messages.SealEpochReply:
         changes.epoch_sealed = not self.state.is_sealed
         self.state.is_sealed = True
         sealed_states = _without_successor(self.state.register_states)
-        return m.SealEpochReply(request.request_id, self.state.storage_id, sealed_states)
+        return messages.SealEpochReply(request.request_id, self.state.storage_id, sealed_states)
 
-    def _handle_install(self, request: m.InstallEpochRequest, changes: StateChanges) -> m.QuorumReply:
+    def _handle_install(
+        self, request: messages.InstallEpochRequest, changes: StateChanges
+    ) -> messages.QuorumReply:
         current = self.state.quorum
         if current is not None and not self.is_voting:
             return self._refuse(request, RefusalReason.RESTART_NOT_CHECKED)
@@ -304,7 +316,7 @@
         if current is None:
             self.is_voting = True  # no quorum has counted a vote of this storage yet
         self._install_epoch(request.quorum, request.register_states, changes)
-        return m.AcceptReply(request.request_id, self.state.storage_id)
+        return messages.AcceptReply(request.request_id, self.state.storage_id)
 
     def _install_epoch(
         self, quorum: Quorum, register_states: dict[str, RegisterState], changes: StateChanges
@@ -319,8 +331,8 @@
 
     # -- status
 
-    def _status_reply(self, request_id: int, uptime_s: float) -> m.StatusReply:
-        return m.StatusReply(
+    def _status_reply(self, request_id: int, uptime_s: float) -> messages.StatusReply:
+        return messages.StatusReply(
             request_id,
             self.state.storage_id,
             self.name,
--- a/rosepick/consensus/proposer.py
+++ b/rosepick/consensus/proposer.py
@@ -15,7 +15,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from . import messages as m
+from . import messages
 from .messages import NO_BALLOT, Ballot, Quorum, Register
 
 RegisterChange = Callable[[Register], bytes]
@@ -26,7 +26,7 @@
     """Holds a request and the name of the replica that it is sent to."""
 
     replica: str
-    request: m.QuorumRequest
+    request: messages.QuorumRequest
 
 
 OutgoingRequests = list[OutgoingRequest]
@@ -118,7 +118,7 @@
         self._next_request_id = next_request_id
         self.outcome: OperationOutcome | None = None
         self.is_preempted = False  # no majority is possible in this round: the driver backs off, then retries
-        self.wrong_epoch_reply: m.WrongEpochReply | None = None  # set if a replica has another quorum
+        self.wrong_epoch_reply: messages.WrongEpochReply | None = None  # set if a replica has another quorum
         self.refusal_reasons: set[str] = set()  # why replicas did not vote
         self._current_ballot = NO_BALLOT
         self._last_proposed: Register | None = None  # the value of the latest accept requests for this change
@@ -153,7 +153,7 @@
             reasons = reason or ", ".join(sorted(self.refusal_reasons)) or "no reply from a majority"
             self.outcome = OperationOutcome(kind, reason=reasons)
 
-    def _broadcast(self, make_request: Callable[[int], m.QuorumRequest]) -> OutgoingRequests:
+    def _broadcast(self, make_request: Callable[[int], messages.QuorumRequest]) -> OutgoingRequests:
         self._request_id = self._next_request_id()
         self._votes.clear()
         self._opponents.clear()
@@ -165,7 +165,7 @@
     def _send_reads(self) -> OutgoingRequests:
         quorum = self.quorum
         return self._broadcast(
-            lambda request_id: m.ReadRequest(request_id, quorum.fleet_id, quorum.epoch, self.key)
+            lambda request_id: messages.ReadRequest(request_id, quorum.fleet_id, quorum.epoch, self.key)
         )
 
     def _send_prepares(self) -> OutgoingRequests:
@@ -174,7 +174,9 @@
         self._phase = ProposerPhase.PREPARE
         self._current_ballot = ballot
         return self._broadcast(
-            lambda request_id: m.PrepareRequest(request_id, quorum.fleet_id, quorum.epoch, self.key, ballot)
+            lambda request_id: messages.PrepareRequest(
+                request_id, quorum.fleet_id, quorum.epoch, self.key, ballot
+            )
         )
 
     def _send_accepts(self, register: Register) -> OutgoingRequests:
@@ -183,14 +185,14 @@
         self._phase = ProposerPhase.ACCEPT
         self._accept_register = register
         return self._broadcast(
-            lambda request_id: m.AcceptRequest(
+            lambda request_id: messages.AcceptRequest(
                 request_id, quorum.fleet_id, quorum.epoch, self.key, ballot, register
             )
         )
 
     # -- replies
 
-    def handle_reply(self, replica: str, reply: m.QuorumReply) -> OutgoingRequests:
+    def handle_reply(self, replica: str, reply: messages.QuorumReply) -> OutgoingRequests:
         """Handle a replica's reply and return the next requests.
 
         Replies to earlier phases and replies that arrive after the outcome have no effect.
@@ -203,21 +205,21 @@
         if self.outcome is not None:
             return []
         match reply:
-            case m.ReadReply() if self._phase is ProposerPhase.READ:
+            case messages.ReadReply() if self._phase is ProposerPhase.READ:
                 self._votes[replica] = Vote(reply.accepted_ballot, reply.register)
                 return self._finish_read()
-            case m.PromiseReply() if self._phase is ProposerPhase.PREPARE:
+            case messages.PromiseReply() if self._phase is ProposerPhase.PREPARE:
                 self._votes[replica] = Vote(reply.accepted_ballot, reply.register)
                 return self._finish_prepare()
-            case m.AcceptReply() if self._phase is ProposerPhase.ACCEPT:
+            case messages.AcceptReply() if self._phase is ProposerPhase.ACCEPT:
                 self._votes[replica] = Vote(NO_BALLOT, self._accept_register)
                 self._finish_accept()
-            case m.BallotConflictReply():
+            case messages.BallotConflictReply():
                 self._ballots.observe(reply.promised_ballot)
                 self._record_refusal(replica)
-            case m.WrongEpochReply():
+            case messages.WrongEpochReply():
                 self.wrong_epoch_reply = reply
-            case m.UnavailableReply():
+            case messages.UnavailableReply():
                 self.refusal_reasons.add(f"{replica}: {reply.reason}")
                 self._record_refusal(replica)
         return []
--- a/rosepick/consensus/reconfiguration.py
+++ b/rosepick/consensus/reconfiguration.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from . import messages as m
+from . import messages
 from .acceptor import merge_register_states
 from .messages import SUCCESSOR_KEY, Quorum, QuorumMember, Register, RegisterState
 from .proposer import (
@@ -59,8 +59,8 @@
     storages = {member.storage_id for member in members}
     if len(names) < len(members) or len(storages) < len(members):
         return "a replica would vote twice"
-    if not members or len(members) > max(m.QUORUM_SIZES):
-        return f"{len(members)} replicas; a quorum has 1 to {max(m.QUORUM_SIZES)}"
+    if not members or len(members) > max(messages.QUORUM_SIZES):
+        return f"{len(members)} replicas; a quorum has 1 to {max(messages.QUORUM_SIZES)}"
     joining = set(members) - set(old_quorum.members)
     leaving = set(old_quorum.members) - set(members)
     if len(joining) > 1 or len(leaving) > 1:
@@ -122,29 +122,29 @@
         quorum = self.old_quorum
         self._request_id = self._next_request_id()
         self._sealed_states = {}
-        request = m.SealEpochRequest(self._request_id, quorum.fleet_id, quorum.epoch)
+        request = messages.SealEpochRequest(self._request_id, quorum.fleet_id, quorum.epoch)
         return [OutgoingRequest(member.name, request) for member in quorum.members]
 
     def _send_installs(self) -> OutgoingRequests:
         assert self.successor is not None
         quorum = self.successor.quorum
         self._request_id = self._next_request_id()
-        request = m.InstallEpochRequest(self._request_id, quorum, self.successor.register_states)
+        request = messages.InstallEpochRequest(self._request_id, quorum, self.successor.register_states)
         return [OutgoingRequest(member.name, request) for member in quorum.members]
 
     # -- replies
 
-    def handle_reply(self, replica: str, reply: m.QuorumReply) -> OutgoingRequests:
+    def handle_reply(self, replica: str, reply: messages.QuorumReply) -> OutgoingRequests:
         """Handle a replica's reply and return the next requests."""
-        if isinstance(reply, m.WrongEpochReply) and reply.quorum is not None:
+        if isinstance(reply, messages.WrongEpochReply) and reply.quorum is not None:
             self._observe_quorum(reply.quorum)
             return []
-        if self.phase is ReconfigurationPhase.SEAL and isinstance(reply, m.SealEpochReply):
+        if self.phase is ReconfigurationPhase.SEAL and isinstance(reply, messages.SealEpochReply):
             return self._handle_seal_reply(replica, reply)
         if self.phase is ReconfigurationPhase.CHOOSE and self._proposer is not None:
             requests = self._proposer.handle_reply(replica, reply)
             return self._finish_choice(self._proposer, requests)
-        if self.phase is ReconfigurationPhase.INSTALL and isinstance(reply, m.AcceptReply):
+        if self.phase is ReconfigurationPhase.INSTALL and isinstance(reply, messages.AcceptReply):
             self._handle_install_reply(replica, reply)
         return []
 
@@ -152,7 +152,7 @@
         if quorum.epoch > self.old_quorum.epoch and quorum.fleet_id == self.old_quorum.fleet_id:
             self.later_quorum = quorum
 
-    def _handle_seal_reply(self, replica: str, reply: m.SealEpochReply) -> OutgoingRequests:
+    def _handle_seal_reply(self, replica: str, reply: messages.SealEpochReply) -> OutgoingRequests:
         if reply.request_id != self._request_id or not self.old_quorum.has_member(replica, reply.storage_id):
             return []
         self._sealed_states[replica] = reply.register_states
@@ -185,7 +185,7 @@
         self.phase = ReconfigurationPhase.INSTALL
         return self._send_installs()
 
-    def _handle_install_reply(self, replica: str, reply: m.AcceptReply) -> None:
+    def _handle_install_reply(self, replica: str, reply: messages.AcceptReply) -> None:
         assert self.successor is not None
         quorum = self.successor.quorum
         if reply.request_id == self._request_id and quorum.has_member(replica, reply.storage_id):
