--- a/rosepick/consensus/reconfiguration.py
+++ b/rosepick/consensus/reconfiguration.py
@@ -1,11 +1,13 @@
-"""Reconfiguration: the step from a quorum to that of the next epoch, in the phases seal, choose and install.
-
-Seal: a majority of the old replicas stops voting in the old epoch, so nothing new can be chosen in it,
-and all that was chosen is among what they have stored. Choose: the new quorum and the registers that it
-starts with are one value, which the sealed replicas choose like that of any register; concurrent
-reconfigurations come to the same one. Install: each new replica starts with these registers. It is the
-stopping of a replicated state machine by an agreed last command (Lamport, Malkhi and Zhou 2010), with
-registers in place of a log.
+"""Reconfiguration: replaces a quorum by the quorum of the next epoch, in three phases.
+
+    SEAL      A majority of the old replicas stops voting in the old epoch. No new value can be chosen in it,
+              and every value that was chosen is among those that this majority has stored.
+    CHOOSE    The new quorum and its initial registers are one value. The sealed replicas choose it like the
+              value of any register, so concurrent reconfigurations agree on one successor.
+    INSTALL   Each new replica starts with these registers.
+
+This is the technique of stopping a replicated state machine by an agreed last command (Lamport, Malkhi and
+Zhou 2010), with registers in place of a log.
 """
 
 from __future__ import annotations
@@ -15,7 +17,7 @@
 
 import msgspec
 
-from . import messages as m
+from . import messages
 from .acceptor import merge_register_states
 from .messages import SUCCESSOR_KEY, Quorum, QuorumMember, Register, RegisterState
 from .proposer import (
@@ -30,14 +32,14 @@
 
 
 class SuccessorQuorum(msgspec.Struct, frozen=True, array_like=True):
-    """The value that is chosen: the next quorum, and the registers that it starts with."""
+    """Holds the value that is chosen: the next quorum and its initial registers."""
 
     quorum: Quorum
     register_states: dict[str, RegisterState]
 
 
 class ReconfigurationPhase(Enum):
-    """The replies that a reconfiguration waits for."""
+    """Says which replies a reconfiguration waits for."""
 
     SEAL = "seal"
     CHOOSE = "choose"
@@ -46,31 +48,31 @@
 
 
 def check_member_change(old_quorum: Quorum, members: tuple[QuorumMember, ...]) -> str:
-    """Check whether these members may follow a quorum.
+    """Check whether a quorum may be replaced by one with these members.
 
-    One replica may join or leave at a time; one whose storage was replaced does both.
+    At most one replica may join and at most one may leave; a replica with a new storage does both.
 
     Returns:
-        Why they may not, for the operator; an empty text if they may.
+        The reason for the operator why the change is not allowed; empty if it is allowed.
     """
     names = {member.name for member in members}
     storages = {member.storage_id for member in members}
     if len(names) < len(members) or len(storages) < len(members):
-        return "a witness would vote twice"
-    if not members or len(members) > max(m.QUORUM_SIZES):
-        return f"{len(members)} witnesses; 1 to {max(m.QUORUM_SIZES)} make a quorum"
+        return "a replica would vote twice"
+    if not members or len(members) > max(messages.QUORUM_SIZES):
+        return f"{len(members)} replicas; a quorum has 1 to {max(messages.QUORUM_SIZES)}"
     joining = set(members) - set(old_quorum.members)
     leaving = set(old_quorum.members) - set(members)
     if len(joining) > 1 or len(leaving) > 1:
-        return "one witness at a time"
+        return "only one replica may join or leave at a time"
     return ""
 
 
 class QuorumReconfiguration:
-    """Leads from a quorum to the next one; driven like a `Proposer`, until `phase` is DONE.
+    """Replaces a quorum by the next one; driven like a `Proposer` until `phase` is DONE.
 
-    `members` is None to finish a reconfiguration that another client may have begun: it installs what was
-    chosen already, or else the same members again.
+    With `members` None it completes a reconfiguration that another client may have begun: it installs the
+    successor that was chosen already, or else a new epoch with the same members.
     """
 
     def __init__(
@@ -88,25 +90,25 @@
         self._next_request_id = next_request_id
         self.phase = ReconfigurationPhase.SEAL
         self.successor: SuccessorQuorum | None = None  # set once it is chosen
-        self.later_quorum: Quorum | None = None  # set if a quorum of a later epoch is installed already
-        self._request_id = 0  # of all requests of the present phase
+        self.later_quorum: Quorum | None = None  # set if a replica has already installed a later epoch
+        self._request_id = 0  # id of all requests of the current phase
         self._sealed_states: dict[str, dict[str, RegisterState]] = {}  # by replica
-        self._proposer: Proposer | None = None  # from the phase CHOOSE on
+        self._proposer: Proposer | None = None  # set in the phase CHOOSE and later
         self._installed_replicas: set[str] = set()
 
     @property
     def is_preempted(self) -> bool:
-        """Whether another client chooses the successor at the same time: back off, then `retry`."""
+        """Return whether another client has a higher ballot: the driver backs off, then calls `retry`."""
         return self._proposer is not None and self._proposer.is_preempted
 
     # -- requests
 
     def start(self) -> OutgoingRequests:
-        """The first requests."""
+        """Return the first requests."""
         return self._send_seals()
 
     def retry(self) -> OutgoingRequests:
-        """The requests of the present phase once more, as replies are missing."""
+        """Return the requests of the current phase again, when replies are missing."""
         match self.phase:
             case ReconfigurationPhase.SEAL:
                 return self._send_seals()
@@ -120,29 +122,29 @@
         quorum = self.old_quorum
         self._request_id = self._next_request_id()
         self._sealed_states = {}
-        request = m.SealEpochRequest(self._request_id, quorum.fleet_id, quorum.epoch)
+        request = messages.SealEpochRequest(self._request_id, quorum.fleet_id, quorum.epoch)
         return [OutgoingRequest(member.name, request) for member in quorum.members]
 
     def _send_installs(self) -> OutgoingRequests:
         assert self.successor is not None
         quorum = self.successor.quorum
         self._request_id = self._next_request_id()
-        request = m.InstallEpochRequest(self._request_id, quorum, self.successor.register_states)
+        request = messages.InstallEpochRequest(self._request_id, quorum, self.successor.register_states)
         return [OutgoingRequest(member.name, request) for member in quorum.members]
 
     # -- replies
 
-    def handle_reply(self, replica: str, reply: m.QuorumReply) -> OutgoingRequests:
-        """Take a replica's reply, and return the requests that follow from it."""
-        if isinstance(reply, m.WrongEpochReply) and reply.quorum is not None:
+    def handle_reply(self, replica: str, reply: messages.QuorumReply) -> OutgoingRequests:
+        """Handle a replica's reply and return the next requests."""
+        if isinstance(reply, messages.WrongEpochReply) and reply.quorum is not None:
             self._observe_quorum(reply.quorum)
             return []
-        if self.phase is ReconfigurationPhase.SEAL and isinstance(reply, m.SealEpochReply):
+        if self.phase is ReconfigurationPhase.SEAL and isinstance(reply, messages.SealEpochReply):
             return self._handle_seal_reply(replica, reply)
         if self.phase is ReconfigurationPhase.CHOOSE and self._proposer is not None:
             requests = self._proposer.handle_reply(replica, reply)
             return self._finish_choice(self._proposer, requests)
-        if self.phase is ReconfigurationPhase.INSTALL and isinstance(reply, m.AcceptReply):
+        if self.phase is ReconfigurationPhase.INSTALL and isinstance(reply, messages.AcceptReply):
             self._handle_install_reply(replica, reply)
         return []
 
@@ -150,7 +152,7 @@
         if quorum.epoch > self.old_quorum.epoch and quorum.fleet_id == self.old_quorum.fleet_id:
             self.later_quorum = quorum
 
-    def _handle_seal_reply(self, replica: str, reply: m.SealEpochReply) -> OutgoingRequests:
+    def _handle_seal_reply(self, replica: str, reply: messages.SealEpochReply) -> OutgoingRequests:
         if reply.request_id != self._request_id or not self.old_quorum.has_member(replica, reply.storage_id):
             return []
         self._sealed_states[replica] = reply.register_states
@@ -161,21 +163,21 @@
         return self._proposer.start()
 
     def _successor_proposer(self) -> Proposer:
-        """The proposer that has the successor chosen, from the registers of a sealed majority."""
+        """Return the proposer of the successor, which starts with the registers of a sealed majority."""
         quorum = self.new_quorum or self.old_quorum.next_epoch(self.old_quorum.members)
         register_states = merge_register_states(list(self._sealed_states.values()))
         value = msgspec.msgpack.encode(SuccessorQuorum(quorum, register_states))
 
         def choose_first(register: Register) -> bytes:
             if register.version:
-                raise ChangeRejectedError  # another client's successor was chosen: it is installed
+                raise ChangeRejectedError  # another client's successor was chosen: install that one
             return value
 
         command = RegisterCommand(SUCCESSOR_KEY, choose_first, self._change_id)
         return Proposer(self.old_quorum, command, self._ballots, self._next_request_id)
 
     def _finish_choice(self, proposer: Proposer, requests: OutgoingRequests) -> OutgoingRequests:
-        """Go on to the phase INSTALL if the successor is chosen; else return the proposer's next requests."""
+        """Enter the phase INSTALL if the successor is chosen; else return the proposer's next requests."""
         outcome = proposer.outcome
         if outcome is None or outcome.kind not in (OutcomeKind.COMMITTED, OutcomeKind.UNCHANGED):
             return requests
@@ -183,7 +185,7 @@
         self.phase = ReconfigurationPhase.INSTALL
         return self._send_installs()
 
-    def _handle_install_reply(self, replica: str, reply: m.AcceptReply) -> None:
+    def _handle_install_reply(self, replica: str, reply: messages.AcceptReply) -> None:
         assert self.successor is not None
         quorum = self.successor.quorum
         if reply.request_id == self._request_id and quorum.has_member(replica, reply.storage_id):
