--- a/rosepick/__main__.py
+++ b/rosepick/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rosepick`: the command line."""
+"""Runs the command line for `python -m rosepick`."""
 
 from .cli.app import app
 
--- a/rosepick/capture/__init__.py
+++ b/rosepick/capture/__init__.py
@@ -1,1 +1,1 @@
-"""The capture: a ring of what the decision module was fed and what it decided, and its replay."""
+"""Records the events and decisions of the decision module in a ring buffer, and replays the records."""
--- a/rosepick/capture/record_format.py
+++ b/rosepick/capture/record_format.py
@@ -1,8 +1,8 @@
-"""The records of a capture, and how they are written: one line each, of words separated by a blank.
+"""Defines and formats the records of a capture: lines of words that are separated by one space.
 
-A line reads back as exactly what was written: floats have all their digits. Times are milliseconds of the
-event loop's clock, except the one in `C`, which is Unix time. Words of clients and of discovery are
-percent-encoded.
+Parsing a line returns exactly the values that were written, as floats have all their digits. Times are in
+milliseconds of the event loop's clock, except the Unix time in `C`. Words that clients or the discovery
+service chose are percent-encoded.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from ..decisions.api import Endpoint, Result, Status, UpdateScope
 
 FORMAT_VERSION = 1
-MAX_WORD_CHARS = 384  # of a word as written: any id fits, and a line stays below PIPE_BUF
+MAX_WORD_CHARS = 384  # of an encoded word; any id fits, and a line stays shorter than PIPE_BUF
 NONE = "-"
 STATUS_WORDS = {Status.READY: "active", Status.DRAINING: "leaving", Status.REMOVED: "left"}
 STATUS_BY_WORD = {word: status for status, word in STATUS_WORDS.items()}
@@ -23,11 +23,11 @@
 _TRUNCATED_ESCAPE = re.compile("%[0-9A-F]?$")
 
 EndpointEntries = tuple[tuple[Endpoint, str], ...]
-"""Endpoints, each with its uid as a word."""
+"""Pairs of an endpoint and its uid, which is encoded as a word."""
 
 
 def encode_word(data: bytes) -> str:
-    """Return a word of a client or of discovery, cut at MAX_WORD_CHARS and without blanks or ends of line."""
+    """Return bytes as a word without spaces and line ends, truncated to MAX_WORD_CHARS characters."""
     if data.translate(None, _UNRESERVED):
         text = quote_from_bytes(data[:MAX_WORD_CHARS], safe="!$&'()*+,/:;=@")
     else:
@@ -40,19 +40,22 @@
 
 
 def decode_word(text: str) -> bytes:
-    """Return the bytes of a word."""
+    """Return the bytes that a word encodes."""
     return b"" if text == NONE else unquote_to_bytes(text)
 
 
 class SegmentHeader(NamedTuple):
-    """`H`: a segment begins, after `preceding_lines` in all segments before it; the endpoint list follows."""
+    """Starts a segment (`H`); `preceding_lines` counts the lines of all segments before it.
+
+    The endpoint list follows, one `m` line per endpoint.
+    """
 
     segment: int
     preceding_lines: int
     seed: int
-    unix_offset_ms: float  # Unix time less the loop's clock
+    unix_offset_ms: float  # Unix time minus the time of the loop's clock
     now: float
-    version: int  # of the endpoint list
+    version: int  # version of the endpoint list
     members: EndpointEntries = ()
 
     def text(self) -> str:
@@ -68,7 +71,7 @@
 
 
 class EndpointListRecord(NamedTuple):
-    """`M`: an update of the endpoint list; its entries follow, one `m` each."""
+    """Records an update of the endpoint list (`M`); one `m` line per endpoint follows."""
 
     now: float
     scope: UpdateScope
@@ -85,7 +88,7 @@
 
 
 class ArrivalRecord(NamedTuple):
-    """`A`: a request was accepted."""
+    """Records a request that was accepted (`A`)."""
 
     now: float
     ref: int
@@ -93,7 +96,7 @@
     kind: str
     owner: str
     key: str
-    deadline_header: str  # Req-Deadline as the client wrote it
+    deadline_header: str  # Req-Deadline as the client sent it
     deadline: float
     key_number: int
     write: bool
@@ -111,7 +114,7 @@
 
 
 class AttemptSentRecord(NamedTuple):
-    """`S`: the module sends an attempt."""
+    """Records an attempt that the decision module sends (`S`)."""
 
     ref: int
     uid: str
@@ -122,7 +125,7 @@
 
 
 class AttemptOutcomeRecord(NamedTuple):
-    """`O`: the outcome of an attempt."""
+    """Records the outcome of an attempt (`O`)."""
 
     now: float
     ref: int
@@ -143,7 +146,7 @@
 
 
 class ClientGoneRecord(NamedTuple):
-    """`G`: the client has left, or something other than the module has ended the request."""
+    """Records that the client disconnected, or that the engine ended the request by itself (`G`)."""
 
     now: float
     ref: int
@@ -154,7 +157,7 @@
 
 
 class TimerRecord(NamedTuple):
-    """`T`: a timer of the module fired."""
+    """Records that a timer of the decision module fired (`T`)."""
 
     now: float
     token: int
@@ -165,7 +168,7 @@
 
 
 class FinalAnswerRecord(NamedTuple):
-    """`C`: the final answer, with the uid of the endpoint that was chosen last."""
+    """Records the final answer, with the uid of the endpoint of the last attempt (`C`)."""
 
     unix_ms: int
     req_id: str
@@ -184,7 +187,7 @@
 
 
 class LostRecord(NamedTuple):
-    """`X`: a record that was too long for any segment."""
+    """Marks the place of records that were too long for a segment (`X`)."""
 
     now: float
 
@@ -207,7 +210,7 @@
 
 
 def format_entry(endpoint: api.Endpoint, uid: str) -> str:
-    """Return the line of an endpoint, with its uid as a word."""
+    """Return the `m` line of an endpoint; `uid` is encoded as a word."""
     return (
         f"m {uid} {endpoint.endpoint_id} {STATUS_WORDS[endpoint.status]} {endpoint.started_at!r} "
         f"{endpoint.zone} {endpoint.cell} {endpoint.kind} {endpoint.weight!r}\n"
@@ -215,7 +218,7 @@
 
 
 def to_request_event(arrival: ArrivalRecord, class_index: int, tenant_index: int) -> api.RequestArrived:
-    """Return the event that the module was fed for a request."""
+    """Return the event that the decision module received for a request."""
     return api.RequestArrived(
         arrival.ref,
         class_index,
--- a/rosepick/capture/record_reader.py
+++ b/rosepick/capture/record_reader.py
@@ -1,4 +1,4 @@
-"""Reads the records of a capture back."""
+"""Parses the records of a capture."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class MalformedLineError(Exception):
-    """A line is not a record. The message has the source and the number of the line."""
+    """Signals a line that is not a record; the message has the source and the number of the line."""
 
     def __init__(self, line_number: int, source: str = "") -> None:
         super().__init__(f"{source}line {line_number} is malformed")
@@ -34,14 +34,14 @@
 
 @dataclass(slots=True)
 class RecordReader:
-    """Iterates over the records of a capture, each with the number of its line; log lines are skipped.
+    """Iterates over the records of a capture and the numbers of their lines; skips log lines.
 
-    A last line that was cut is counted in `truncated_count`, like a list that lacks entries because the dump
-    was overtaken. Any other line that is not a record raises MalformedLineError.
+    `truncated_count` counts a truncated last line, and endpoint lists that lack entries because the segment
+    was evicted during the dump. Any other line that is not a record raises MalformedLineError.
     """
 
     data: bytes
-    source: str = ""  # put before the number of a malformed line
+    source: str = ""  # prefix of the messages about malformed lines
     truncated_count: int = 0
 
     def __iter__(self) -> Iterator[tuple[int, Record]]:
@@ -71,18 +71,22 @@
 
 @dataclass(slots=True)
 class _LineParser:
-    """Parses the lines of a capture, and collects the entries of a list until it is whole."""
+    """Parses the lines of a capture, and collects the entries of a list until it is complete."""
 
     _partial_record: SegmentHeader | EndpointListRecord | None = None
     _missing_entries: int = 0
     _entries: list[tuple[Endpoint, str]] = field(default_factory=list)
 
     def has_partial_record(self) -> bool:
-        """Whether entries of a list are still to come."""
+        """Return whether entries of a list are missing."""
         return self._partial_record is not None
 
     def parse(self, line: bytes) -> Record | None:
-        """Return the record that a line completes; ValueError, KeyError or IndexError if it is not one."""
+        """Return the record that a line completes, or None for a part of a list.
+
+        Raises:
+            ValueError, KeyError, IndexError: the line is malformed.
+        """
         letter, *words = line.decode("ascii").split(" ")
         if (letter == "m") != self.has_partial_record():
             raise ValueError("an entry without its list, or a list without its entries")
@@ -206,7 +210,7 @@
     "H": _parse_header,
     "M": _parse_endpoint_list,
 }
-"""Records that entries may follow; their last word is the count of these."""
+"""Parsers of records with a list of entries; the last word of these records is the number of entries."""
 _PARSERS: dict[str, Callable[[list[str]], Record]] = {
     "A": _parse_arrival,
     "S": _parse_attempt_sent,
--- a/rosepick/capture/recorder.py
+++ b/rosepick/capture/recorder.py
@@ -1,4 +1,4 @@
-"""The engine's observer that writes the capture."""
+"""Observer of the engine that writes the capture."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 )
 from .ring_buffer import LineRing
 
-MAX_PENDING_RECORDS = 64  # that are formatted together
-# of a client's word while its record is pending: enough to show that it was longer
+MAX_PENDING_RECORDS = 64  # pending records are formatted together
+# A pending word of a client keeps one byte more than an encoded word, so that its truncation is visible.
 MAX_PENDING_WORD_BYTES = record_format.MAX_WORD_CHARS + 1
-# that go into the ring together, unless one line is longer; at most a quarter of a segment
+# Largest chunk of lines that is appended at once, unless one line is longer; at most a quarter of a segment.
 MAX_CHUNK_BYTES = 4096
-MAX_DEPARTED = 256  # removed endpoints whose uids are kept for answers still to come
+MAX_REMOVED_UIDS = 256  # uids of removed endpoints that are kept for later final answers
 _STATUS_BY_OUTCOME = {
     RequestOutcome.SERVED: 200,
     RequestOutcome.REFUSED: 503,
@@ -45,16 +45,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CaptureConfig:
-    """The ring of a capture, and the router that it is of."""
+    """Configures the ring buffer of a capture, and identifies its router."""
 
     max_segments: int
     segment_bytes: int
-    seed: int  # of the decision module
-    unix_offset_ms: float  # Unix time less the loop's clock
+    seed: int  # seed of the decision module
+    unix_offset_ms: float  # Unix time minus the time of the loop's clock
 
 
 class _PendingArrival(NamedTuple):
-    """An `A` record whose words are not encoded yet."""
+    """Holds an `A` record whose words are not encoded yet."""
 
     now: float
     ref: int
@@ -71,7 +71,7 @@
 
 
 class _PendingFinalAnswer(NamedTuple):
-    """A `C` record whose words are not encoded yet."""
+    """Holds a `C` record whose words are not encoded yet."""
 
     now: float
     req_id: bytes
@@ -83,7 +83,7 @@
 
 
 class _Member(NamedTuple):
-    """A listed endpoint, with its uid as a word and its line."""
+    """Holds a listed endpoint, its uid as a word, and its formatted line."""
 
     endpoint: Endpoint
     uid: str
@@ -91,10 +91,10 @@
 
 
 class CaptureRecorder:
-    """Writes what the engine shows to an observer into a ring of lines, in order.
+    """Writes the events and actions that the engine reports to a ring of lines, in order.
 
-    Records are pending at first and formatted many at a time: formatted one by one, each would find the
-    processor's caches cold.
+    Records are pending at first, and many of them are formatted together. If each were formatted at once, its
+    code and data would not be in the processor's caches.
     """
 
     def __init__(
@@ -104,32 +104,35 @@
         client_fields: Callable[[object], tuple[bytes, bytes, bytes]],
         uid_of: Callable[[int], str | None],
     ) -> None:
-        """Record with these names of classes and tenants.
+        """Create a recorder with an empty ring.
 
-        `client_fields` gives the id, key and deadline header of a payload; `uid_of` gives the uid of an
-        endpoint of the newest list, by its id.
+        Args:
+            capture_config: size of the ring, and identity of the router.
+            names: names of classes and tenants.
+            client_fields: returns the request id, key and deadline header of a request's payload.
+            uid_of: returns the uid of an endpoint of the latest list by its id, or None.
         """
         self._config = capture_config
         self._client_fields = client_fields
         self._uid_of = uid_of
         self.set_names(names)
         self._list_version = 0
-        self.members: dict[int, _Member] = {}  # by id
-        self.departed: OrderedDict[int, str] = OrderedDict()  # uids of removed endpoints, by id
+        self.members: dict[int, _Member] = {}  # by endpoint id
+        self.removed_uids: OrderedDict[int, str] = OrderedDict()  # uids of removed endpoints, by id
         self.ring = LineRing(capture_config.max_segments, capture_config.segment_bytes, self._make_header)
         self._chunk_bytes = min(MAX_CHUNK_BYTES, capture_config.segment_bytes // 4)
-        self.pending_since = 0.0  # the time of the oldest record that is not in the ring
-        self._pending: list[tuple[Callable[[Any], str], Any]] = []  # each with what formats it
+        self.pending_since = 0.0  # time of the oldest record that is not in the ring
+        self._pending: list[tuple[Callable[[Any], str], Any]] = []  # each with the function that formats it
 
     def set_names(self, names: NameIndexes) -> None:
-        """Use these names of classes and tenants from now on; an index keeps its meaning."""
+        """Set the names of classes and tenants; an index always refers to the same class or tenant."""
         self._class_names = _encode_names(names.all_classes())
         self._tenant_names = _encode_names(names.all_tenants())
 
-    # ---------------------------------------------------------------------------- the engine's observer
+    # ---------------------------------------------------------------------------- callbacks of the engine
 
     def on_event(self, now: float, event: api.Event, actions: list[api.Action]) -> None:
-        """Record an event that the module was fed, and the attempts that it sends."""
+        """Record an event that the decision module received, and the attempts that it sends."""
         match event:
             case api.TimerFired(token):
                 self._add_record(now, TimerRecord.text, TimerRecord(now, token))
@@ -143,7 +146,7 @@
         self._record_sends(now, actions)
 
     def on_request(self, now: float, request: RequestContext, actions: list[api.Action]) -> None:
-        """Record a request that the module was fed, and the attempts that it sends."""
+        """Record a request that the decision module received, and the attempts that it sends."""
         req_id, key, deadline_header = self._client_fields(request.payload)
         arrival = _PendingArrival(
             now,
@@ -188,10 +191,10 @@
             self.pending_since = now
         self._pending.append((format_record, record))
 
-    # ------------------------------------------------------------------------------------------ writing
+    # -------------------------------------------------------------------------------------------- writing
 
     def flush(self) -> None:
-        """Write the pending records into the ring."""
+        """Format the pending records and append them to the ring."""
         pending, self._pending = self._pending, []
         chunk: list[str] = []
         chunk_bytes = 0
@@ -210,7 +213,7 @@
             self._append_lost(self.pending_since)
 
     def _append_lost(self, now: float) -> None:
-        """Record that no segment could hold what was to be appended."""
+        """Append an `X` record for lines that were too long for a segment."""
         self.ring.append(LostRecord(now).text().encode("ascii"))
 
     def _format_arrival(self, arrival: _PendingArrival) -> str:
@@ -244,8 +247,8 @@
         ).text()
 
     def _append_endpoint_list(self, now: float, event: api.EndpointUpdate) -> None:
-        """Write an update of the endpoint list, and apply it to what the next segment's header has."""
-        members = [self._member_of(endpoint) for endpoint in event.endpoints]
+        """Append an update of the endpoint list, and apply it to the list for the next segment's header."""
+        members = [self._make_member(endpoint) for endpoint in event.endpoints]
         self.pending_since = now
         record = EndpointListRecord(now, event.scope, event.version)
         text = record.first_line(len(members)) + "".join(member.line for member in members)
@@ -256,27 +259,29 @@
         self._list_version = event.version
         if event.scope is not UpdateScope.DELTA:
             listed_ids = {endpoint.endpoint_id for endpoint in event.endpoints}
-            self._mark_departed([one for one in self.members if one not in listed_ids])
+            self._move_to_removed([member_id for member_id in self.members if member_id not in listed_ids])
         for member in members:
             self.members[member.endpoint.endpoint_id] = member
-        self._mark_departed([one.endpoint_id for one in event.endpoints if one.status is Status.REMOVED])
+        self._move_to_removed(
+            [endpoint.endpoint_id for endpoint in event.endpoints if endpoint.status is Status.REMOVED]
+        )
 
-    def _member_of(self, endpoint: Endpoint) -> _Member:
-        """Return an endpoint with its line, which is not formatted again if it is as it was."""
+    def _make_member(self, endpoint: Endpoint) -> _Member:
+        """Return an endpoint with its line; the line of an unchanged endpoint is not formatted again."""
         known = self.members.get(endpoint.endpoint_id)
         if known is not None and known.endpoint is endpoint:
             return known
         uid = self._uid_of_listed(endpoint.endpoint_id)
         return _Member(endpoint, uid, record_format.format_entry(endpoint, uid))
 
-    def _mark_departed(self, endpoint_ids: list[int]) -> None:
+    def _move_to_removed(self, endpoint_ids: list[int]) -> None:
         for endpoint_id in endpoint_ids:
-            self.departed[endpoint_id] = self.members.pop(endpoint_id).uid
-        while len(self.departed) > MAX_DEPARTED:
-            self.departed.popitem(last=False)
+            self.removed_uids[endpoint_id] = self.members.pop(endpoint_id).uid
+        while len(self.removed_uids) > MAX_REMOVED_UIDS:
+            self.removed_uids.popitem(last=False)
 
     def _make_header(self, ring: LineRing, max_bytes: int) -> bytes:
-        """Return the header of the segment that begins. An endpoint list that does not fit is cut."""
+        """Return the header of a new segment; its endpoint list is truncated to fit into `max_bytes`."""
         lines = [member.line for member in self.members.values()]
         header = SegmentHeader(
             ring.next_segment,
@@ -292,14 +297,14 @@
                 return text
             lines = lines[: len(lines) * max_bytes // len(text)]
 
-    # -------------------------------------------------------------------------------------------- words
+    # ---------------------------------------------------------------------------------------------- words
 
     def _uid(self, endpoint_id: int) -> str:
         member = self.members.get(endpoint_id)
-        return member.uid if member is not None else self.departed.get(endpoint_id, f"#{endpoint_id}")
+        return member.uid if member is not None else self.removed_uids.get(endpoint_id, f"#{endpoint_id}")
 
     def _uid_of_listed(self, endpoint_id: int) -> str:
-        """Return the uid of an endpoint of the newest list; one that was removed is known from before."""
+        """Return the uid of an endpoint of the latest list; a removed endpoint has its recorded uid."""
         uid = self._uid_of(endpoint_id)
         return self._uid(endpoint_id) if uid is None else encode_word(uid.encode())
 
--- a/rosepick/capture/replay.py
+++ b/rosepick/capture/replay.py
@@ -1,7 +1,7 @@
-"""The replay of a capture: the module is fed the recorded events again, and its decisions are compared.
+"""Replays a capture: passes the recorded events to the decision module, and compares its decisions.
 
-Where it decides as recorded, it is fed exactly what was recorded. Where it decides otherwise, there is no
-recorded answer to its choice; docs/capture.md says what it is fed instead.
+While the module decides as recorded, it receives exactly the recorded events. After a different decision, no
+recorded outcome belongs to its choice; docs/capture.md describes the events that it receives instead.
 """
 
 from __future__ import annotations
@@ -32,32 +32,32 @@
 from .replay_report import STATUS_SERVED, ReplayedAttempt, ReplayedRequest, ReplayReport
 from .sections import CaptureSection, split_sections
 
-# an attempt that was cancelled so shortly after the replay cancels it is cancelled at the recorded time
+# If the recorded cancellation follows the replayed one within this time, the recorded time is used.
 CANCEL_TOLERANCE_MS = 5.0
-# a timer may have fired so late; at the end of the capture its record may be missing
+# Timers fire up to this time after they are due, so their records may be missing at the end of the capture.
 TIMER_TOLERANCE_MS = 250.0
 STATUS_CLIENT_GONE = 499
 STATUS_FAILED = 502
 STATUS_REFUSED = 503
 STATUS_DEADLINE_EXCEEDED = 504
-_ROUTER_RESULTS = (Result.CANCELLED, Result.NEVER_SENT)  # that the router itself brought about
+_ROUTER_RESULTS = (Result.CANCELLED, Result.NEVER_SENT)  # results that the router itself causes
 
 
 class ReplayError(Exception):
-    """The capture has a name that the settings lack. The message has the line and the name."""
+    """Signals a name in the capture that is missing in the settings; the message has its line."""
 
 
 def replay(sources: Sequence[RecordReader], settings: api.RouterSettings, names: NameIndexes) -> ReplayReport:
-    """Feed a capture, of one source or of several in their order, to the module under these settings.
+    """Replay the capture in `sources`, in their order, under these settings; return the differences.
 
     Raises:
         MalformedLineError: A line of the capture is not a record.
-        ReplayError: The capture and the settings do not fit together.
+        ReplayError: The settings lack a name of the capture.
     """
     report = ReplayReport()
     for section in split_sections(chain.from_iterable(sources)):
         report.section_count += 1
-        report.headless_count += section.header.preceding_lines > 0
+        report.missing_start_count += section.header.preceding_lines > 0
         _SectionReplay(section, settings, names, report).run()
     report.truncated_count = sum(source.truncated_count for source in sources)
     return report
@@ -65,20 +65,22 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class _ScheduledCall:
-    """Something that was not recorded and is due at a time; ends of attempts come before timers."""
+    """Holds a call that was not recorded and is due at a time; ends of attempts precede timers."""
 
     due_at: float
     priority: int
-    number: int  # in the order of scheduling
+    number: int  # counts scheduled calls, for their order
     call: Callable[[], None]
 
 
-class _Recorded:
-    """What a section has recorded of attempts and timers."""
+class _RecordedEvents:
+    """Holds the recorded attempts and timers of a section."""
 
     def __init__(self, section: CaptureSection) -> None:
-        self.outcomes: dict[tuple[int, int], AttemptOutcomeRecord] = {}  # by request and attempt number
-        self.pending_timers: Counter[int] = Counter()  # firings that are still to come, by token
+        self.outcomes: dict[
+            tuple[int, int], AttemptOutcomeRecord
+        ] = {}  # by request and number of the attempt
+        self.pending_timers: Counter[int] = Counter()  # recorded firings that are not replayed yet, by token
         self.sent_counts: Counter[int] = Counter()  # by request
         for _, record in section.records:
             match record:
@@ -91,7 +93,7 @@
 
 
 class _SectionReplay:
-    """Feeds one section to a decision module of its own."""
+    """Replays one section with a separate instance of the decision module."""
 
     def __init__(
         self, section: CaptureSection, settings: api.RouterSettings, names: NameIndexes, report: ReplayReport
@@ -105,16 +107,16 @@
         self._uids: dict[int, str] = {}
         self._now = section.header.now
         self._capture_end = max((_record_time(record) for _, record in section.records), default=self._now)
-        self._recorded = _Recorded(section)
-        self._ended_attempts: set[tuple[int, int]] = set()  # whose recorded outcomes are in the past
+        self._recorded = _RecordedEvents(section)
+        self._ended_attempts: set[tuple[int, int]] = set()  # attempts whose recorded outcomes have passed
         self._timers: dict[int, list[float]] = {}  # heaps of due times, by token
         self._scheduled: list[_ScheduledCall] = []
         self._scheduled_count = 0
 
     def run(self) -> None:
-        """Feed all records, and report the requests."""
+        """Replay all records, and add the results to the report."""
         header = self._section.header
-        if header.preceding_lines:  # the beginning is missing: the module starts from the endpoint list
+        if header.preceding_lines:  # the start is missing: begins with the endpoint list of the header
             self._apply_endpoint_list(
                 EndpointListRecord(header.now, UpdateScope.FULL, header.version, header.members)
             )
@@ -146,7 +148,7 @@
             case LostRecord():
                 self._report.lost_count += 1
 
-    # --------------------------------------------------------------------------------- what was recorded
+    # ------------------------------------------------------------------------------------ recorded events
 
     def _apply_arrival(self, line_number: int, record: ArrivalRecord) -> None:
         request = ReplayedRequest(record)
@@ -159,12 +161,12 @@
     def _apply_final_answer(self, record: FinalAnswerRecord) -> None:
         request = self._requests_by_id.pop(record.req_id, None)
         if request is None:
-            self._report.begun_before_count += 1
+            self._report.started_before_count += 1
         else:
             request.final_record = record
 
     def _apply_client_gone(self, record: ClientGoneRecord) -> None:
-        """End a request that something other than the module has ended, and would have ended now as well."""
+        """End a request that its client or the engine ended, independently of the module's decisions."""
         request = self._requests.get(record.ref)
         if request is None:
             return
@@ -180,7 +182,7 @@
         self._feed(record.now, api.EndpointUpdate(record.scope, endpoints, record.version))
 
     def _apply_outcome(self, record: AttemptOutcomeRecord) -> None:
-        """End the attempt of that number with the recorded outcome, if it is in flight now."""
+        """End the attempt with the recorded outcome, if the replay has it in flight."""
         self._ended_attempts.add((record.ref, record.attempt))
         request = self._requests.get(record.ref)
         attempt = None if request is None else request.attempt_in_flight(record.attempt)
@@ -192,7 +194,7 @@
         self._end_attempt(request, attempt, record.result, record, record.now)
 
     def _apply_timer(self, record: TimerRecord) -> None:
-        """Fire a timer, if the module has set it now."""
+        """Fire a timer at its recorded time, if the module has set it in the replay."""
         token = record.token
         self._recorded.pending_timers[token] -= 1
         due_times = self._timers.get(token, [])
@@ -203,7 +205,7 @@
             for due_at in self._timers.pop(token, []):
                 self._schedule(due_at, lambda: self._feed(self._now, api.TimerFired(token)))
 
-    # ----------------------------------------------------------------------------- what was not recorded
+    # ---------------------------------------------------------------------- events that were not recorded
 
     def _schedule(self, due_at: float, call: Callable[[], None], ends_attempt: bool = False) -> None:
         self._scheduled_count += 1
@@ -218,20 +220,23 @@
         )
 
     def _run_scheduled(self, until: float) -> None:
-        """Run what is due before the next record. Not near the end: the capture may lack its record."""
+        """Run the calls that are due before the next record.
+
+        Calls near the end of the capture are not run, as the capture may lack their records.
+        """
         limit = min(until, self._capture_end - TIMER_TOLERANCE_MS)
         while self._scheduled and self._scheduled[0].due_at < limit:
             due = heapq.heappop(self._scheduled)
             self._now = max(self._now, due.due_at)
             due.call()
 
-    # ----------------------------------------------------------------------------------------- the module
+    # ------------------------------------------------------------------------------------ decision module
 
     def _feed(self, now: float, event: api.Event) -> None:
         self._now = max(self._now, now)
         try:
             actions = self._router.handle(now, event)
-        except Exception:  # as the engine does
+        except Exception:  # the engine handles exceptions in the same way
             actions = self._router.actions
         for action in actions:
             match action:
@@ -254,7 +259,7 @@
             self._schedule(action.due_at, lambda: self._feed(self._now, api.TimerFired(token)))
 
     def _record_answer(self, ref: int, status: int | None) -> None:
-        """Note the answer to a request; without a status it is a failure."""
+        """Record the final answer to a request; None stands for a failure."""
         request = self._requests.get(ref)
         if request is None or request.status is not None:
             return
@@ -274,7 +279,9 @@
         request.attempts.append(attempt)
         recorded = self._recorded.outcomes.get((action.ref, number))
         if recorded is None:
-            if number >= self._recorded.sent_counts[action.ref]:  # else the capture ends before its outcome
+            if (
+                number >= self._recorded.sent_counts[action.ref]
+            ):  # otherwise the capture ends before the outcome
                 self._schedule_timeout(request, attempt)
         elif (action.ref, number) in self._ended_attempts:
             self._schedule_recorded_outcome(request, attempt, recorded)
@@ -284,7 +291,7 @@
     def _schedule_recorded_outcome(
         self, request: ReplayedRequest, attempt: ReplayedAttempt, recorded: AttemptOutcomeRecord
     ) -> None:
-        """Schedule an outcome that was recorded before the attempt is sent now: the same, after as long."""
+        """Schedule the recorded outcome after the recorded latency, for an attempt that is sent later now."""
         ends_at = attempt.sent_at + recorded.latency_ms
         if recorded.result in _ROUTER_RESULTS or ends_at >= attempt.stop_at:
             self._schedule_timeout(request, attempt)
@@ -309,7 +316,7 @@
             )
 
     def _is_cancel_recorded(self, action: api.Cancel) -> bool:
-        """Whether a record to come ends the attempt as cancelled, or may be missing at the capture's end."""
+        """Return whether a later record cancels the attempt, or may be missing at the capture's end."""
         key = action.ref, action.attempt
         recorded = self._recorded.outcomes.get(key)
         if recorded is None:
@@ -329,7 +336,7 @@
         recorded: AttemptOutcomeRecord | None = None,
         recorded_at: float | None = None,
     ) -> None:
-        """End an attempt, at the recorded time or else now. One that serves ends its request."""
+        """End an attempt at the recorded time, or now if there is none; a result of OK ends its request."""
         if not attempt.in_flight:
             return
         attempt.in_flight = False
@@ -353,21 +360,21 @@
         )
         if recorded is not None:
             event = replace(event, cache_status=recorded.cache_status, malformed=recorded.malformed)
-        if recorded is not None and is_recorded_attempt:  # exactly as recorded, else as things are now
+        if recorded is not None and is_recorded_attempt:  # the replay decided as recorded
             closes_request = serves or (was_answered and recorded.closed)
             event = replace(event, closes_request=closes_request, latency_ms=recorded.latency_ms)
         self._feed(ended_at, event)
 
 
 def _record_time(record: Record) -> float:
-    """Return the time of a record; those that follow from another record have none of their own."""
+    """Return the time of a record, or minus infinity for records that result from other records."""
     if isinstance(record, AttemptSentRecord | FinalAnswerRecord):
         return float("-inf")
     return record.now
 
 
 def _index_of(indexes: Mapping[str, int], word: str, line_number: int) -> int:
-    """Return the index of a name that stands in a line as a word."""
+    """Return the index of the name that is encoded as `word`."""
     for name, index in indexes.items():
         if record_format.encode_word(name.encode()) == word:
             return index
--- a/rosepick/capture/replay_report.py
+++ b/rosepick/capture/replay_report.py
@@ -1,4 +1,4 @@
-"""What a replay finds: each request as it was recorded and as it is decided now."""
+"""Compares the requests of a capture with their replay, and reports the differences."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 STATUS_SERVED = 200
 _DECISION_BY_STATUS = {200: "served", 503: "refused", 502: "failed", 504: "failed", 499: "gone", 500: "broke"}
-"""Statuses that are the same decision: which failure a client gets depends on the clock."""
+"""Decisions by status. 502 and 504 are one decision, as the clock determines which one a client gets."""
 
 
 @dataclass(slots=True, eq=False)
 class ReplayedAttempt:
-    """An attempt of the replay. Times are milliseconds of the capture's clock."""
+    """Holds an attempt of the replay; times are in milliseconds of the capture's clock."""
 
     endpoint_id: int
     uid: str
@@ -27,26 +27,26 @@
 
 @dataclass(slots=True)
 class ReplayedRequest:
-    """A request as it was recorded and as it is decided now."""
+    """Holds the recorded and the replayed decisions about a request."""
 
     arrival: ArrivalRecord
-    recorded_uids: list[str] = field(default_factory=list)  # of the endpoints that were tried
+    recorded_uids: list[str] = field(default_factory=list)  # endpoints of the recorded attempts
     final_record: FinalAnswerRecord | None = None
     attempts: list[ReplayedAttempt] = field(default_factory=list)
-    status: int | None = None  # of the answer in the replay
+    status: int | None = None  # status of the final answer in the replay
     answered_at: float = 0.0
 
     def attempt_in_flight(self, number: int) -> ReplayedAttempt | None:
-        """Return the attempt of that number, if it has been sent and has not ended."""
+        """Return the attempt with this number, or None if it was not sent or has ended."""
         if number >= len(self.attempts) or not self.attempts[number].in_flight:
             return None
         return self.attempts[number]
 
     def is_different(self, capture_end: float) -> bool:
-        """Whether the decisions differ, in a capture that ends at that time.
+        """Return whether the decisions differ, in a capture that ends at `capture_end`.
 
-        Guards against a capture that is cut between an event and what was decided on it: there, a decision
-        that the record lacks is no difference.
+        A capture may end between an event and the records of the resulting decisions. Decisions whose records
+        are missing for this reason do not count as differences.
         """
         recorded_decision = self._recorded_decision()
         replayed_decision = None if self.status is None else _DECISION_BY_STATUS.get(self.status)
@@ -62,7 +62,7 @@
         return None if self.final_record is None else _DECISION_BY_STATUS.get(self.final_record.status)
 
     def _lacks_serving_outcome(self) -> bool:
-        """Whether the answer was recorded, but the outcome that brought it is behind the capture's end."""
+        """Return whether the final answer was recorded, but the capture ends before the outcome behind it."""
         return (
             self.final_record is not None
             and self.final_record.status == STATUS_SERVED
@@ -71,7 +71,7 @@
         )
 
     def _comparable_uids(self, capture_end: float) -> list[str]:
-        """Return the endpoints that are tried now, but for one whose record is behind the capture's end."""
+        """Return the endpoints of the replay, except one whose record may lie behind the capture's end."""
         uids = [attempt.uid for attempt in self.attempts]
         if (
             self.final_record is None
@@ -83,12 +83,12 @@
         return uids
 
     def recorded_line(self) -> str:
-        """Return the record as the capture has it, with all endpoints that were tried."""
+        """Return the recorded final answer or arrival, with all endpoints that were tried."""
         record = self.arrival if self.final_record is None else self.final_record
         return record.text().rstrip("\n") + _format_tried(self.recorded_uids)
 
     def replayed_line(self) -> str:
-        """Return the record as it is decided now."""
+        """Return the final answer of the replay, with all endpoints that were tried."""
         uids = [attempt.uid for attempt in self.attempts]
         last_uid = uids[-1] if uids else record_format.NONE
         if self.final_record is None or self.status is None:
@@ -104,25 +104,25 @@
 
 @dataclass(slots=True)
 class ReplayReport:
-    """What a replay found."""
+    """Holds the results of a replay."""
 
     compared_count: int = 0
     differing: list[ReplayedRequest] = field(default_factory=list)
-    begun_before_count: int = 0  # requests that arrived before the capture
-    open_count: int = 0  # requests without an answer at its end
+    started_before_count: int = 0  # requests that arrived before the capture began
+    open_count: int = 0  # requests without a final answer at the capture's end
     truncated_count: int = 0
     lost_count: int = 0
     section_count: int = 0
-    headless_count: int = 0  # sections without their beginning: what the module had learned is not known
+    missing_start_count: int = 0  # sections without their start, so that the learned state is unknown
 
     def lines(self) -> Iterator[str]:
-        """Yield each record that is decided otherwise, as it was and as it is now; then the counts."""
+        """Yield the recorded and the replayed line of each request that differs, and then the counts."""
         for request in self.differing:
             yield f"< {request.recorded_line()}"
             yield f"> {request.replayed_line()}"
         yield (
             f"compared {self.compared_count}, differing {len(self.differing)}, "
-            f"begun before the capture {self.begun_before_count}, still open at its end {self.open_count}, "
+            f"begun before the capture {self.started_before_count}, still open at its end {self.open_count}, "
             f"truncated last lines {self.truncated_count}, records lost {self.lost_count}, "
-            f"pieces {self.section_count}, of them without their begin {self.headless_count}"
+            f"pieces {self.section_count}, of them without their begin {self.missing_start_count}"
         )
--- a/rosepick/capture/ring_buffer.py
+++ b/rosepick/capture/ring_buffer.py
@@ -1,4 +1,4 @@
-"""A ring buffer of lines in segments of fixed size. It knows neither files nor what lines mean."""
+"""Ring buffer of lines, in segments of fixed size."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MAX_HEADER_FRACTION = 0.5  # of a segment, that its header may take
+MAX_HEADER_FRACTION = 0.5  # largest part of a segment that its header may occupy
 
 
 class Position(NamedTuple):
-    """A position in all that was ever appended: the number of the segment, and the offset in bytes there."""
+    """Holds a position: the number of a segment, and an offset in it in bytes."""
 
     segment: int
     offset: int
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class Segment:
-    """One segment; its bytes are allocated once and reused."""
+    """Holds one segment; its memory is allocated once and reused."""
 
     number: int
     data: bytearray
@@ -27,27 +27,33 @@
 
 
 class LineRing:
-    """Lines, the newest last; the oldest segment is evicted for a new one.
+    """Buffers lines in order; a new segment evicts the oldest one.
 
-    Each segment begins with a header, so that it can be read alone.
+    Each segment begins with a header, so that it can be parsed without the segments before it.
     """
 
     def __init__(
         self, max_segments: int, segment_bytes: int, make_header: Callable[[LineRing, int], bytes]
     ) -> None:
-        """`make_header` returns the header of a segment that begins, of at most so many bytes."""
+        """Create an empty ring.
+
+        Args:
+            max_segments: number of segments that are kept.
+            segment_bytes: size of each segment.
+            make_header: returns the header of a new segment; the second argument limits its bytes.
+        """
         self.max_segments = max_segments
         self.segment_bytes = segment_bytes
         self._make_header = make_header
         self.segments: deque[Segment] = deque()
-        self.next_segment = 0  # its number; also how many have begun
-        self.line_count = 0  # appended since the start, headers not among them
-        self.before_eviction: Callable[[], None] | None = None  # called before a segment begins
+        self.next_segment = 0  # number of the next segment; equals the count of segments that were begun
+        self.line_count = 0  # lines appended since the start, without headers
+        self.before_eviction: Callable[[], None] | None = None  # called before a new segment begins
 
     def append(self, data: bytes, line_count: int = 1) -> bool:
-        """Append whole lines that belong together.
+        """Append complete lines to one segment.
 
-        Returns False, with nothing appended, if no segment can hold them.
+        Returns False and appends nothing if the lines are too long for a segment.
         """
         last = self.segments[-1] if self.segments else None
         if last is None or last.length + len(data) > self.segment_bytes:
@@ -76,14 +82,14 @@
         return Position(self.segments[0].number, 0) if self.segments else Position(self.next_segment, 0)
 
     def end_position(self) -> Position:
-        """Return the position behind the newest line."""
+        """Return the position after the newest line."""
         last = self.segments[-1] if self.segments else Segment(self.next_segment, bytearray())
         return Position(last.number, last.length)
 
     def read(self, position: Position, limit: Position, max_bytes: int) -> tuple[memoryview, Position]:
-        """Return whole lines from a position on, and the position behind them.
+        """Return complete lines from `position` on, and the position after them.
 
-        At most `max_bytes` are returned, and nothing at `limit` or behind it. Evicted lines are skipped.
+        The lines have at most `max_bytes` bytes and end before `limit`. Evicted lines are skipped.
         """
         position = max(position, self.start_position())
         for segment in self.segments:
--- a/rosepick/capture/sections.py
+++ b/rosepick/capture/sections.py
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True)
 class CaptureSection:
-    """Records that follow one another without a gap, each with the number of its line."""
+    """Holds consecutive records without gaps, and the numbers of their lines."""
 
     header: SegmentHeader
     records: list[tuple[int, Record]] = field(default_factory=list)
     line_count: int = 0
 
     def is_continued_by(self, header: SegmentHeader) -> bool:
-        """Whether a segment with this header is the next one of the section."""
+        """Return whether the segment with this header continues the section without a gap."""
         expected_lines = self.header.preceding_lines + self.line_count
         return (
             header.seed == self.header.seed
@@ -33,10 +33,10 @@
 
 
 def split_sections(records: Iterable[tuple[int, Record]]) -> list[CaptureSection]:
-    """Return the sections of a capture: a new one begins where records are missing, as after a restart.
+    """Return the sections of a capture; a new section begins after missing records and after a restart.
 
     Raises:
-        MalformedLineError: A record stands before the first header.
+        MalformedLineError: A record precedes the first header.
     """
     sections: list[CaptureSection] = []
     for line_number, record in records:
--- a/rosepick/http/__init__.py
+++ b/rosepick/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 protocol adapters as state machines: bytes in, messages and bytes out; no sockets, no clock."""
+"""HTTP/1.1 protocol adapters: state machines that turn bytes into messages, without sockets or a clock."""
--- a/rosepick/http/batch_protocol.py
+++ b/rosepick/http/batch_protocol.py
@@ -1,4 +1,4 @@
-"""Protocol of batches: parses a batch, encodes a request for each of its items and the joint response."""
+"""Parses a batch of reads, encodes a request for each of its items, and encodes the joint response."""
 
 from __future__ import annotations
 
@@ -14,23 +14,24 @@
 
 PATH = b"/mget"
 MAX_KEY_BYTES = 2048
-MAX_ITEM_RESPONSE_BYTES = 1024 * 1024  # longest body of an item that the router forwards
-_SEGMENT = re.compile(rb"(?:[A-Za-z0-9\-._~!$&'()*+,;=:@]|%[0-9A-Fa-f]{2})+")  # of a path (RFC 3986, 3.3)
+MAX_ITEM_RESPONSE_BYTES = 1024 * 1024  # the router forwards no longer body of one item
+# A path segment as RFC 3986, section 3.3, defines it.
+_SEGMENT = re.compile(rb"(?:[A-Za-z0-9\-._~!$&'()*+,;=:@]|%[0-9A-Fa-f]{2})+")
 _ENTRY_HEAD = re.compile(rb"(\S+) (\S+) ([0-9]{3}) ([0-9]+)")
 
 
 @dataclass(frozen=True, slots=True)
 class BatchRequest(ProtocolMessage):
-    """A batch was received completely."""
+    """A batch that has been received completely."""
 
     keys: tuple[bytes, ...]
     kind: bytes
     owner: bytes
-    deadline: float  # of all items; milliseconds on the clock of `ServerProtocol.feed`
+    deadline: float  # common to all items, in milliseconds on the clock of `ServerProtocol.feed`
 
 
 class BatchServerProtocol(ServerProtocol):
-    """One client connection of the batch listener: a batch is answered while its items are served."""
+    """Parses the batches of one client connection and encodes their responses, entry by entry."""
 
     def __init__(self, get_names: Callable[[], NameIndexes], max_keys: Callable[[], int]) -> None:
         super().__init__(get_names)
@@ -53,15 +54,15 @@
         )
 
     def _make_rejection(self, error: BadRequestError) -> RequestRejected:
-        return RequestRejected(error.status, str(error))  # a batch does not count as a request of its class
+        return RequestRejected(error.status, str(error))  # the counters of a request class exclude batches
 
     def encode_batch_head(self, closing: bool) -> bytes:
-        """Return the head of the response to a batch, whose length is not known yet."""
+        """Return the head of the response to a batch; the length of the response is not known yet."""
         return self.begin_streamed_response(None, ((b"Content-Type", b"application/octet-stream"),), closing)
 
 
 def _parse_keys(body: bytes, max_keys: int) -> tuple[bytes, ...]:
-    """Return the keys of a batch body: one a line, blank lines are skipped."""
+    """Return the keys of a batch body, which holds one key per line; blank lines are skipped."""
     line_numbers: dict[bytes, int] = {}
     for number, line in enumerate(body.split(b"\n"), 1):
         key = line.rstrip(b"\r")
@@ -82,7 +83,7 @@
 def encode_item_request(
     batch: BatchRequest, key: bytes, req_id: bytes, host: str, time_left_ms: float
 ) -> bytes:
-    """Return the ordinary request for one item, with `time_left_ms` milliseconds to its deadline."""
+    """Return a GET request for one item; its deadline is `time_left_ms` milliseconds from now."""
     return (
         b"\r\n".join(
             (
@@ -104,19 +105,19 @@
 
 
 def encode_trailer(unserved: int, count: int) -> bytes:
-    """Return the line behind the last entry; empty if all items were served."""
+    """Return the line after the last entry, or nothing if all items were served."""
     return b"partial: %d of %d not served\n" % (unserved, count) if unserved else b""
 
 
-# ------------------------------------------------------------------------------------ the client's side
+# -------------------------------------------------------------------------------------------- client side
 
 
 class BatchResponseError(Exception):
-    """The response to a batch is incomplete or malformed."""
+    """Signals that the response to a batch is incomplete or malformed."""
 
 
 class BatchEntry(NamedTuple):
-    """The response to one item of a batch."""
+    """Holds the response to one item of a batch."""
 
     key: bytes
     req_id: bytes
@@ -128,7 +129,7 @@
     """Yield the entries of a response to a batch.
 
     Raises:
-        BatchResponseError: the response is incomplete, after the entries that are complete.
+        BatchResponseError: the response is incomplete; raised after the complete entries were yielded.
     """
     offset = failed_count = count = 0
     while found := _ENTRY_HEAD.fullmatch(data, offset, max(offset, end := data.find(b"\n", offset))):
@@ -136,9 +137,9 @@
         body = data[end + 1 : end + 1 + size]
         offset = end + 1 + size + 1
         if offset > len(data) or data[offset - 1 : offset] != b"\n":
-            raise BatchResponseError(f"the entry of {found[1].decode()} is not whole")
+            raise BatchResponseError(f"the entry of {found[1].decode()} is incomplete")
         count += 1
         failed_count += found[3] != b"200"
         yield BatchEntry(found[1], found[2], int(found[3]), body)
     if not count or data[offset:] != encode_trailer(failed_count, count):
-        raise BatchResponseError("it does not end as it should")
+        raise BatchResponseError("no valid trailer after the last entry")
--- a/rosepick/http/client_protocol.py
+++ b/rosepick/http/client_protocol.py
@@ -1,4 +1,4 @@
-"""The client side of HTTP/1.1: one attempt at an upstream, from the request's bytes to its result."""
+"""The client side of HTTP/1.1: encodes the request of one attempt and parses its response."""
 
 from __future__ import annotations
 
@@ -10,50 +10,50 @@
 from .request_messages import ForwardedRequest
 from .response import MalformedResponseError, Response, ResponseReader
 
-MAX_BODY_BYTES = 36 * 1024 * 1024  # of a response; a longer one counts as malformed
-# A longer response is streamed. A buffered one that breaks off can still be fetched by another attempt.
+MAX_BODY_BYTES = 36 * 1024 * 1024  # a response with a longer body counts as malformed
+# Longer responses are streamed. If a buffered response breaks off, another attempt can still fetch it.
 MAX_BUFFERED_RESPONSE_BYTES = 64 * 1024
-UPLOAD_CHUNK_BYTES = 64 * 1024  # of a streamed request body that are encoded at once
+UPLOAD_CHUNK_BYTES = 64 * 1024  # longest part of a streamed request body that is encoded at once
 _CACHE_STATUSES = {b"hit": 1, b"miss": 2, b"pending": 3}
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended."""
+    """Holds the result of an attempt, and the response if one was received."""
 
     result: Result
     cache_status: int = 0
     response: Response | None = None
     reusable: bool = False
-    malformed: bool = False  # a response was received that cannot be used
+    malformed: bool = False  # the upstream sent a response that cannot be used
 
 
 @dataclass(frozen=True, slots=True)
 class StreamedResponse:
-    """A long response, forwarded while it is received."""
+    """Holds the headers and body stream of a response that is forwarded while it is received."""
 
     headers: dict[bytes, bytes]
     body_stream: BodyStream
 
 
 class ResponseHead(NamedTuple):
-    """The head of a response whose body is still being received."""
+    """Holds the head of a response whose body is still being received."""
 
     headers: dict[bytes, bytes]
     body_length: int | None  # bytes; None if the head does not state it
 
 
 class HttpExchange:
-    """One attempt: encodes its request and parses the response."""
+    """Encodes the request of one attempt and parses its response."""
 
     def __init__(self, request: ForwardedRequest, host: str, time_left_ms: float) -> None:
         self._unsent = memoryview(_encode_request(request, host, time_left_ms))
-        self._body_stream = request.body_stream  # None once its last byte is encoded
+        self._body_stream = request.body_stream  # None after its last byte is encoded
         self._chunked = request.body_stream is not None and request.body_stream.content_length is None
         self._reader = ResponseReader(MAX_BODY_BYTES, MAX_BUFFERED_RESPONSE_BYTES)
 
     def next_unsent(self) -> memoryview:
-        """Return the bytes that can be written now."""
+        """Return the next request bytes to write; encodes a further part of a streamed body if necessary."""
         if not self._unsent and self._body_stream is not None:
             self._encode_body(self._body_stream)
         return self._unsent
@@ -68,7 +68,7 @@
         self._unsent = memoryview(b"".join(parts))
 
     def is_sent(self) -> bool:
-        """Whether the request has been written completely."""
+        """Return whether the request has been written completely."""
         return not self._unsent and self._body_stream is None
 
     def mark_written(self, count: int) -> None:
@@ -82,20 +82,20 @@
         except MalformedResponseError:
             return self.malformed_result()
         if self._reader.is_streaming and not self.is_sent():
-            # a long response before the end of the request: nobody can receive its stream yet
+            # The engine accepts a response stream only after the request has been written completely.
             return self.malformed_result()
         return None if response is None else self._make_result(response)
 
     def feed_eof(self) -> AttemptResult:
-        """Return the result of an attempt whose upstream has ended its side of the connection."""
+        """Return the result of an attempt whose upstream closed its side of the connection."""
         response = self._reader.feed_eof()
         return self.broken_result() if response is None else self._make_result(response)
 
     def broken_result(self) -> AttemptResult:
         """Return the result of an attempt whose connection broke.
 
-        An upstream starts on a request when it has the last byte, so one that was not written completely
-        was never executed.
+        An upstream executes a request only after it received the last byte, so a request that was not
+        written completely was never executed.
         """
         return AttemptResult(Result.RESET if self.is_sent() else Result.CONNECT_FAILED)
 
@@ -104,19 +104,19 @@
         return replace(self.broken_result(), malformed=self.is_sent())
 
     def buffered_bytes(self) -> int:
-        """Return the bytes held of an incomplete response."""
+        """Return the number of buffered bytes of an incomplete response."""
         return self._reader.buffered_bytes()
 
     def is_streaming(self) -> bool:
-        """Whether a response is being streamed; never before the request was written completely."""
+        """Return whether a response is being streamed; False until the request is written completely."""
         return self._reader.is_streaming and self.is_sent()
 
     def response_head(self) -> ResponseHead:
-        """Return the head of the response that has begun."""
+        """Return the head of the response that is being received."""
         return ResponseHead(self._reader.headers(), self._reader.body_length())
 
     def cache_status(self) -> int:
-        """Return the cache status that the response states: 0 none, 1 hit, 2 miss, 3 pending."""
+        """Return the cache status of the response: 0 for none, 1 for hit, 2 for miss, 3 for pending."""
         return _CACHE_STATUSES.get(self._reader.headers().get(b"srv-cache", b"").strip().lower(), 0)
 
     def take_body(self) -> list[bytes]:
@@ -127,7 +127,7 @@
         cache_status = self.cache_status()
         result = _classify_response(response)
         if result is Result.ERROR and not self.is_sent():
-            result = Result.CONNECT_FAILED  # an early response: the upstream never had the whole request
+            result = Result.CONNECT_FAILED  # an early response: the upstream never received the whole request
         return AttemptResult(result, cache_status, response, response.reusable and self.is_sent())
 
 
@@ -148,7 +148,7 @@
         request.method + b" " + request.target + b" HTTP/1.1",
         b"Host: " + host.encode(),
         b"Req-Id: " + request.req_id,
-        # the time of a streamed body counts from its last byte: forwarded as received
+        # The deadline of a streamed request counts from its last body byte, so the header is forwarded as is.
         b"Req-Deadline: "
         + (request.deadline_header if request.body_stream else b"%.3f" % (max(0.0, time_left_ms) / 1000.0)),
     ]
--- a/rosepick/http/request_headers.py
+++ b/rosepick/http/request_headers.py
@@ -1,4 +1,4 @@
-"""Parsing of a request's target and headers.
+"""Parsers of a request's target and headers.
 
 Header names are given in lower case. Each parser raises `BadRequestError` for a missing or malformed value.
 """
@@ -11,12 +11,12 @@
 from .request_messages import BadRequestError
 
 _REQUEST_ID = re.compile(rb"[!-~]{1,128}")
-_DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,12})?")  # stricter than float(): no 1_0, nan or 1e300
+_DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,12})?")  # float() would accept 1_0, nan and 1e300
 _ABSOLUTE_FORM_PREFIX = b"http://"
 
 
 def to_origin_form(target: bytes) -> bytes:
-    """Return a request target without scheme and authority (RFC 9112, 3.2.2: servers must accept both)."""
+    """Return a request target without scheme and authority (RFC 9112, 3.2.2 requires support of both)."""
     if target[:7].lower() != _ABSOLUTE_FORM_PREFIX:
         return target
     authority, slash, rest = target[7:].partition(b"/")
@@ -40,7 +40,7 @@
 
 
 def index_header(headers: dict[bytes, bytes], name: bytes, indexes: Mapping[str, int]) -> int:
-    """Return the index of the name in a header, as of a request class or tenant."""
+    """Return the index of the name in a header, for example of a request class or a tenant."""
     index = indexes.get(text_header(headers, name).decode("latin-1"))
     if index is None:
         raise BadRequestError(400, f"{name.decode()} is not known here")
@@ -56,5 +56,5 @@
 
 
 def time_to_deadline_ms(headers: dict[bytes, bytes]) -> float:
-    """Return the milliseconds that the client allows for its request (Req-Deadline, given in seconds)."""
+    """Return the time to the request's deadline in milliseconds; Req-Deadline states it in seconds."""
     return 1000.0 * number_header(headers, b"req-deadline")
--- a/rosepick/http/request_messages.py
+++ b/rosepick/http/request_messages.py
@@ -1,4 +1,4 @@
-"""Messages of a server connection: what a client sent, as the protocol adapter hands it over."""
+"""Messages that the server protocol parses from the bytes of a client connection."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardedRequest:
-    """The parts of a request that are forwarded to an upstream unchanged."""
+    """Holds the parts of a request that are forwarded to an upstream unchanged."""
 
     method: bytes
     target: bytes
@@ -18,40 +18,40 @@
     req_id: bytes
     idempotency_key: bytes | None
     content_type: bytes | None
-    deadline_header: bytes = b""  # Req-Deadline as received; captures record it
-    body_stream: BodyStream | None = None  # in place of `body` while the body is still being received
+    deadline_header: bytes = b""  # Req-Deadline as received, for captures and streamed bodies
+    body_stream: BodyStream | None = None  # replaces `body` while the body is being received
 
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A request has been received: completely, or up to a streamed body."""
+    """Reports a request that has been received completely, or up to the streamed part of its body."""
 
     request: RequestContext
 
 
 @dataclass(frozen=True, slots=True)
 class ReadinessProbe:
-    """A health check: does the router serve?"""
+    """Reports a health check, which asks whether the router is ready to serve."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRejected:
-    """A request that cannot be accepted, with the status of its response."""
+    """Reports a request that cannot be accepted; `status` is the HTTP status of its response."""
 
     status: int
     reason: str
-    class_index: int | None = None  # the request class, if the request named a known one
+    class_index: int | None = None  # None if the request names no known request class
 
 
 class ProtocolMessage:
-    """Base class of messages that other protocol adapters parse."""
+    """Base class of the messages that subclasses of `ServerProtocol` parse."""
 
 
 ParsedMessage = RequestReceived | ReadinessProbe | RequestRejected | ProtocolMessage
 
 
 class BadRequestError(Exception):
-    """A request cannot be accepted; `status` is the HTTP status of the response, the text its reason."""
+    """Signals a request that cannot be accepted; `status` is the HTTP status, the message its reason."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -66,7 +66,7 @@
 
 
 def client_fields(payload: object) -> tuple[bytes, bytes, bytes]:
-    """Return request id, key and Req-Deadline header, which a `RequestContext` does not hold."""
+    """Return the request id, the key and the Req-Deadline header of the payload of a `RequestContext`."""
     assert isinstance(payload, ForwardedRequest)
     return payload.req_id, key_of_target(payload.target), payload.deadline_header
 
--- a/rosepick/http/response.py
+++ b/rosepick/http/response.py
@@ -1,4 +1,4 @@
-"""Parsing of one HTTP/1.1 response."""
+"""Parser of HTTP/1.1 responses."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 import httptools
 
-MAX_HEAD_BYTES = 32 * 1024  # of the head with interim responses, and of the framing of the body
+MAX_HEAD_BYTES = 32 * 1024  # limits the head with interim responses, and the framing between body data
 
 
 class MalformedResponseError(Exception):
-    """The received bytes are not a response that can be used."""
+    """Signals that the received bytes are not a valid response."""
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A complete response."""
+    """Holds a complete response."""
 
     status: int
-    headers: dict[bytes, bytes]  # names in lower case; the first of repeated ones
+    headers: dict[bytes, bytes]  # by names in lower case; the first value of a repeated header
     body: bytes
     reusable: bool  # the connection can carry another request
 
@@ -26,8 +26,8 @@
 class ResponseReader:
     """Parses one response; interim responses (1xx) are skipped.
 
-    With `max_buffered_bytes`, a 200 with a longer body is streamed: `is_streaming` is set, `take_body`
-    returns the parts that were received, and the final `Response` has an empty body.
+    If `max_buffered_bytes` is set, a 200 response with a longer body is streamed: `is_streaming` becomes
+    True, `take_body` returns the received parts, and the final `Response` has an empty body.
     """
 
     def __init__(self, max_body_bytes: int, max_buffered_bytes: int | None = None) -> None:
@@ -36,9 +36,9 @@
         self.is_streaming = False
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._headers: dict[bytes, bytes] = {}
-        self._parts: list[bytes] = []  # joined once, at the end: bodies can be large
+        self._parts: list[bytes] = []  # joined once at the end, as bodies can be large
         self._body_bytes = 0
-        self._unframed_bytes = 0  # received since the last body data
+        self._unframed_bytes = 0  # bytes received since the last body data
         self._headers_done = False
         self._has_surplus = False
         self._is_complete = False
@@ -48,10 +48,10 @@
         """Parse received bytes; return the response once it is complete.
 
         Raises:
-            MalformedResponseError: the bytes cannot be used, or follow a complete response.
+            MalformedResponseError: the bytes are not a valid response, or follow a complete one.
         """
         if self._parser is None:
-            raise MalformedResponseError("bytes after the answer")
+            raise MalformedResponseError("bytes after the response")
         before = self._body_bytes
         try:
             self._parser.feed_data(data)
@@ -61,14 +61,14 @@
             self._has_surplus = True
         if self._is_complete:
             return self._make_response(self._keep_alive)
-        # guards against endless heads, interim responses and trailers, which would fill the memory
+        # Guards against endless heads, interim responses and trailers, which would exhaust the memory.
         self._unframed_bytes = self._unframed_bytes + len(data) if self._body_bytes == before else 0
         if self._unframed_bytes > MAX_HEAD_BYTES:
             raise MalformedResponseError("headers too long")
         return None
 
     def buffered_bytes(self) -> int:
-        """Return the bytes held of a body that is not streamed."""
+        """Return the number of buffered bytes of a body that is not streamed."""
         return 0 if self.is_streaming or not self._parts else self._body_bytes
 
     def take_body(self) -> list[bytes]:
@@ -77,16 +77,16 @@
         return parts
 
     def headers(self) -> dict[bytes, bytes]:
-        """Return the headers received so far, by names in lower case."""
+        """Return the headers that were received, by names in lower case."""
         return self._headers
 
     def body_length(self) -> int | None:
-        """Return the length of the body in bytes, if the head states it."""
+        """Return the length of the body in bytes, or None if the head does not state it."""
         length = self._headers.get(b"content-length", b"").strip()
         return int(length) if length.isdigit() else None
 
     def feed_eof(self) -> Response | None:
-        """Return the response if the end of the connection delimits its body; else None."""
+        """Return the response if the end of the connection marks the end of its body, else None."""
         framed = b"content-length" in self._headers or b"transfer-encoding" in self._headers
         return (
             self._make_response(False)
@@ -95,7 +95,7 @@
         )
 
     def _make_response(self, keep_alive: bool) -> Response:
-        parser, self._parser = self._parser, None  # it refers back to this object: leave no reference cycle
+        parser, self._parser = self._parser, None  # breaks the reference cycle with the parser
         assert parser is not None
         reusable = keep_alive and not self._has_surplus
         if self.is_streaming:
@@ -103,14 +103,14 @@
         body = self._parts[0] if len(self._parts) == 1 else b"".join(self._parts)
         return Response(parser.get_status_code(), self._headers, body, reusable)
 
-    # ------------------------------------------------------------------------------ parser callbacks
+    # ----------------------------------------------------------------------------------- parser callbacks
 
     def on_message_begin(self) -> None:
         """Parser callback: a response begins."""
         self._has_surplus = self._is_complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback: a header of the head, or a trailer, which is ignored: it may be endless."""
+        """Parser callback: a header, or a trailer. Trailers are ignored, as they may be endless."""
         if not self._is_complete and not self._headers_done:
             self._headers.setdefault(name.lower(), value.strip(b" \t"))
 
@@ -121,11 +121,11 @@
         self._headers_done = True
         length = self._headers.get(b"content-length", b"0").strip()
         if length.isdigit() and int(length) > self._max_body_bytes:
-            raise MalformedResponseError("body too long")  # before any of it is read
+            raise MalformedResponseError("body too long")  # rejects the body before any of it is read
         coding = self._headers.get(b"transfer-encoding", b"chunked").strip().lower()
         if coding != b"chunked":
-            # guards against forwarding a body under a wrong encoding
-            raise MalformedResponseError("a coding of the body that is not known")
+            # Guards against forwarding an encoded body without its encoding.
+            raise MalformedResponseError("unknown transfer coding")
 
     def on_body(self, data: bytes) -> None:
         """Parser callback: a part of the body."""
@@ -136,19 +136,19 @@
             raise MalformedResponseError("body too long")
         if self._max_buffered_bytes is None or self._parser is None:
             self._parts.append(data)
-        elif self._parser.get_status_code() == 200:  # the body of any other status is not used
+        elif self._parser.get_status_code() == 200:  # bodies of other statuses are not used
             self._parts.append(data)
             self.is_streaming = (
                 self.is_streaming or max(self._body_bytes, self.body_length() or 0) > self._max_buffered_bytes
             )
 
     def on_message_complete(self) -> None:
-        """Parser callback: the response, or an interim one, is complete."""
+        """Parser callback: the response or an interim response is complete."""
         if self._parser is not None and 100 <= self._parser.get_status_code() < 200:
             self._headers.clear()
             self._headers_done = False
             return
-        # Read here, as the parser forgets it afterwards and then returns False. Guards against a new
-        # connection for each attempt.
+        # The parser returns False after this callback. Reading the flag here guards against a new connection
+        # for each attempt.
         self._keep_alive = self._parser is not None and self._parser.should_keep_alive()
         self._is_complete = True
--- a/rosepick/http/response_encoding.py
+++ b/rosepick/http/response_encoding.py
@@ -1,4 +1,4 @@
-"""Encoding of the heads of HTTP/1.1 responses."""
+"""Encoder of the heads of HTTP/1.1 responses."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     504: b"Gateway Timeout",
 }
 
-ExtraHeaders = tuple[tuple[bytes, bytes], ...]  # names and values to add to a response head
+ExtraHeaders = tuple[tuple[bytes, bytes], ...]  # pairs of name and value that a response head gets
 
 
 def encode_head(status: int, closes: bool, extra_headers: ExtraHeaders) -> bytes:
-    """Return a response head; `closes` announces that the connection ends after the response."""
+    """Return a response head; with `closes` it announces that the connection closes after the response."""
     lines = [b"HTTP/1.1 %d %s" % (status, REASON_PHRASES[status])]
     lines += [name + b": " + value for name, value in extra_headers]
     if closes:
--- a/rosepick/http/server_protocol.py
+++ b/rosepick/http/server_protocol.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP/1.1: parses a client's requests and encodes their responses."""
+"""The server side of HTTP/1.1: parses the requests of a client and encodes their responses."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 MAX_BODY_BYTES = 36 * 1024 * 1024
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer body is streamed
-BODY_TIMEOUT_MS = 600_000.0  # for receiving a whole streamed body
+BODY_TIMEOUT_MS = 600_000.0  # limits the time in which a streamed body is received
 MAX_HEAD_BYTES = 16 * 1024
-MAX_PIPELINED_REQUESTS = 4  # requests that are read ahead of the one in hand
+MAX_PIPELINED_REQUESTS = 4  # limit of the requests that wait behind the current request
 
-# A repeated header of these could be read one way here and another way by an upstream or a proxy.
+# If one of these headers were repeated, the router and an upstream or a proxy might use different values.
 _SINGLE_VALUE_HEADERS = frozenset(
     {
         b"req-id",
@@ -57,57 +57,58 @@
 
 
 class CompletedUpload(NamedTuple):
-    """A request whose streamed body has been received completely."""
+    """Holds a request whose streamed body has been received completely."""
 
     request: RequestContext
     deadline: float  # milliseconds, on the clock of `ServerProtocol.feed`
 
 
 class ServerProtocol:
-    """One connection to a client: requests are answered one at a time, in order."""
+    """Parses the requests of one client connection, which are answered one at a time and in order."""
 
     def __init__(self, get_names: Callable[[], NameIndexes], body_budget: BufferBudget | None = None) -> None:
         """Create the state of a new connection.
 
         Args:
-            get_names: returns the names in force; called whenever a request is handed over.
-            body_budget: for streamed bodies; without it a body may have `MAX_BUFFERED_BODY_BYTES` at most.
+            get_names: returns the current names of classes and tenants; called for each request.
+            body_budget: buffer memory of streamed bodies; without it, bodies are limited to
+                `MAX_BUFFERED_BODY_BYTES`.
         """
         self._get_names = get_names
         self._body_budget = body_budget
-        self.body_stream: BodyStream | None = None  # of the body that is being received
+        self.body_stream: BodyStream | None = None  # stream of the body that is being received
         self.body_rejection: RequestRejected | None = None  # response for a malformed streamed body
-        self.body_bytes = 0  # received of the current body
+        self.body_bytes = 0  # received bytes of the current body
         self._streaming_request: RequestContext | None = None
         self._completed_requests: list[CompletedUpload] = []
-        self._unframed_bytes = 0  # received since the last end of a head or message, or body data
+        self._unframed_bytes = 0  # bytes received since the end of a head or message, or body data
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._inbox: deque[tuple[ParsedMessage, bool]] = deque()
         self._version = "1.1"  # HTTP version of the last request that was parsed
-        self._keep_alive = True  # whether the connection persists after the request in hand
-        self._streams_current_request = False  # `body_stream` belongs to the request in hand
-        self._chunked = False  # the streamed response has chunked encoding
+        self._keep_alive = True  # whether the connection persists after the current request
+        self._streams_current_request = False  # `body_stream` belongs to the current request
+        self._chunked = False  # the streamed response uses chunked encoding
         self._closes_after_response = False
         self._now = 0.0
         self._target = b""
         self._headers: dict[bytes, bytes] = {}
         self._body = bytearray()
-        self._head_bytes = 0  # of the current head, as parsed
+        self._head_bytes = 0  # parsed bytes of the current head
         self._in_head = False
-        self.has_partial_request = False  # a request has begun and is incomplete
-        self.response_pending = False  # a request is in hand: its response is due
-        self.is_done = False  # nothing more will be read or answered
+        self.has_partial_request = False  # a request is received in part
+        self.response_pending = False  # the current request has no response yet
+        self.is_done = False  # no more requests are read or answered
         self.wants_continue = False
 
     def feed(self, data: bytes, now: float) -> None:
-        """Parse received bytes; `now` in milliseconds, from which deadlines count."""
+        """Parse received bytes; deadlines count from `now`, in milliseconds."""
         if self._parser is None:
             return
         self._now = now
         self._unframed_bytes += len(data)
         try:
             self._parser.feed_data(data)
-            # The parser buffers incomplete fields: guards against endless headers or trailers.
+            # The parser buffers incomplete fields. The limit guards against endless headers or trailers.
             if self.has_partial_request and self._unframed_bytes > MAX_HEAD_BYTES:
                 raise BadRequestError(431, "headers too long")
         except httptools.HttpParserCallbackError as error:
@@ -117,8 +118,8 @@
             else:
                 self._reject(BadRequestError(400, "malformed request"))
         except httptools.HttpParserUpgrade:
-            # The request itself is complete and in the inbox, and is answered once. Bytes after it would
-            # belong to another protocol.
+            # The request that asks for an upgrade is complete and in the inbox, and is answered without one.
+            # Bytes after it belong to another protocol and are not read.
             self._parser = None
             self._inbox.append((self._inbox.pop()[0], False))
         except httptools.HttpParserError:
@@ -127,14 +128,14 @@
             self._reject(error)
 
     def _reject(self, error: BadRequestError) -> None:
-        """Reject the request being received; its end is unknown, so nothing after it is read."""
+        """Reject the request being received; its end is unknown, so no bytes after it are read."""
         self._parser = None
         self.has_partial_request = False
         body, self.body_stream = self.body_stream, None
         self._streaming_request = None
         if body is not None:
             body.abort()
-            if self._streams_current_request:  # the rejection is the response to the request in hand
+            if self._streams_current_request:  # the current request gets the rejection
                 self.body_rejection = self._make_rejection(error)
                 return
             self._inbox.pop()
@@ -142,12 +143,12 @@
         self._inbox.append((self._make_rejection(error), False))
 
     def _make_rejection(self, error: BadRequestError) -> RequestRejected:
-        """Return the rejection with the request class of the headers, for which it counts."""
+        """Return the rejection; it counts for the request class that the headers name."""
         name = self._headers.get(b"req-kind", b"").decode("latin-1")
         return RequestRejected(error.status, str(error), self._get_names().classes.get(name))
 
     def next_message(self) -> ParsedMessage | None:
-        """Take up and return the next message; None while a response is pending or there is no message."""
+        """Return the next message, or None while a response is pending or there is no message."""
         if self.response_pending or self.is_done or not self._inbox:
             return None
         message, self._keep_alive = self._inbox.popleft()
@@ -156,34 +157,34 @@
         return message
 
     def take_completed(self) -> list[CompletedUpload]:
-        """Return the streamed uploads that were completed since the last call."""
+        """Return the streamed uploads that became complete since the last call."""
         completed, self._completed_requests = self._completed_requests, []
         return completed
 
     def has_pipelined(self) -> bool:
-        """Whether further messages wait behind the request in hand."""
+        """Return whether further messages wait behind the current request."""
         return bool(self._inbox)
 
     def pipeline_is_full(self) -> bool:
-        """Whether `MAX_PIPELINED_REQUESTS` were read ahead."""
+        """Return whether `MAX_PIPELINED_REQUESTS` messages wait."""
         return len(self._inbox) >= MAX_PIPELINED_REQUESTS
 
     def is_idle(self) -> bool:
-        """Whether the connection is between requests."""
+        """Return whether the connection is between requests."""
         return not (self.response_pending or self.has_partial_request or self._inbox)
 
     def reject_timeout(self) -> None:
-        """Reject a request that was not received completely in time."""
+        """Reject the request that is being received, because it exceeded its time limit."""
         self._reject(BadRequestError(408, "the request did not come whole"))
 
     def close(self) -> None:
-        """Release everything: the connection was closed."""
-        self._parser = None  # it refers back to this object: leave no reference cycle
+        """Discard all requests and buffers after the connection was closed."""
+        self._parser = None  # breaks the reference cycle with the parser
         self.is_done = True
         self._discard_pending()
 
     def _discard_pending(self) -> None:
-        """Drop requests that were pipelined or are being received."""
+        """Discard the requests that are pipelined or being received."""
         for message, _ in self._inbox:
             if isinstance(message, RequestReceived):
                 discard_body(message.request)
@@ -197,10 +198,10 @@
     def encode_response_head(
         self, status: int, body: bytes, extra_headers: ExtraHeaders, closing: bool, last: bool = False
     ) -> bytes:
-        """Return the head of the response to the request in hand; its body follows.
+        """Return the head of the response to the current request; the caller writes the body after it.
 
-        Sets `is_done` if the connection closes after this response. With `closing` it does unless pipelined
-        requests still wait; with `last` it does in any case.
+        Sets `is_done` if the connection closes after this response. With `closing`, it closes unless
+        pipelined requests wait; with `last`, it always closes.
         """
         self._finish_response(closing, last)
         return encode_head(status, self.is_done, ((b"Content-Length", b"%d" % len(body)), *extra_headers))
@@ -208,10 +209,10 @@
     def begin_streamed_response(
         self, length: int | None, extra_headers: ExtraHeaders, closing: bool
     ) -> bytes:
-        """Return the head of a 200 response whose body is streamed; without a length, chunked encoding."""
+        """Return the head of a streamed 200 response; it has chunked encoding if `length` is None."""
         self._chunked = length is None and self._version != "1.0"
         if length is None and not self._chunked:
-            self._keep_alive = False  # HTTP/1.0: the end of the connection delimits the body
+            self._keep_alive = False  # HTTP/1.0: the end of the connection marks the end of the body
         self._closes_after_response = not self._keep_alive or (
             closing and not self._inbox and not self.has_partial_request
         )
@@ -221,25 +222,25 @@
         return encode_head(200, self._closes_after_response, framing + extra_headers)
 
     def encode_chunk(self, *parts: bytes) -> tuple[bytes, ...]:
-        """Return parts of a streamed body as they are to be written."""
+        """Return parts of a streamed body, with the framing of a chunk if the response is chunked."""
         size = sum(map(len, parts))
         return (b"%x\r\n" % size, *parts, b"\r\n") if self._chunked and size else parts
 
     def finish_streamed_response(self, closing: bool = False) -> bytes:
-        """Return the end of a streamed body; `is_done` is set if the head announced a close."""
+        """Return the end of a streamed body; sets `is_done` if the head announced a close."""
         self._finish_response(closing or self._closes_after_response, self._closes_after_response)
         return b"0\r\n\r\n" if self._chunked else b""
 
     def ends_with_connection(self) -> bool:
-        """Whether the end of the connection delimits the streamed response."""
+        """Return whether the end of the connection marks the end of the streamed response."""
         return not self._chunked and not self._keep_alive and self._version == "1.0"
 
     def _finish_response(self, closing: bool, last: bool = False) -> None:
-        """Record that the request in hand is answered, and whether the connection persists."""
+        """Record that the current request is answered, and whether the connection persists."""
         self.response_pending = False
-        # a streamed request body that is not complete yet will not be read to its end
+        # The rest of an incomplete streamed request body is not read.
         last = last or (self._streams_current_request and self.body_stream is not None)
-        # pipelined requests were accepted: they are answered before the connection may close
+        # Pipelined requests were accepted, so they are answered before the connection closes.
         self.is_done = (
             last or not self._keep_alive or (closing and not self._inbox and not self.has_partial_request)
         )
@@ -247,7 +248,7 @@
             self._parser = None
             self._discard_pending()
 
-    # ------------------------------------------------------------------------------ parser callbacks
+    # ----------------------------------------------------------------------------------- parser callbacks
 
     def on_message_begin(self) -> None:
         """Parser callback: a request begins."""
@@ -269,7 +270,7 @@
         """Parser callback: a header of the head, or a trailer."""
         self._count_head_bytes(len(name) + len(value) + 4)
         if not self._in_head:
-            return  # trailers are ignored
+            return  # ignores trailers
         name = name.lower()
         value = value.strip(b" \t")  # the parser keeps trailing blanks
         # Guards against request smuggling: an upstream or a proxy might use the other value.
@@ -296,7 +297,7 @@
         self.wants_continue = b"expect" in self._headers
 
     def is_in_head(self) -> bool:
-        """Whether the head of the request being received is incomplete."""
+        """Return whether the head of the request being received is incomplete."""
         return self._in_head
 
     def on_body(self, part: bytes) -> None:
@@ -316,7 +317,7 @@
             self._start_streaming_body()
 
     def _start_streaming_body(self) -> None:
-        """Hand the request over before its body, which is too long to be buffered, is complete."""
+        """Queue the request before its body is complete, because the body is too long to be buffered."""
         assert self._parser is not None
         assert self._body_budget is not None
         length = self._headers.get(b"content-length", b"").strip()
@@ -359,7 +360,7 @@
             message = self._make_rejection(error)
         self._inbox.append((message, self._parser.should_keep_alive()))
 
-    # ----------------------------------------------------------------------------- a request's contents
+    # ------------------------------------------------------------------------------------ request parsing
 
     def _parse_request(self, method: bytes) -> ParsedMessage:
         self._target = to_origin_form(self._target)
--- a/rosepick/logs.py
+++ b/rosepick/logs.py
@@ -1,4 +1,4 @@
-"""Logging: one `key=value` line for each event, and a rate limit for each kind of event."""
+"""Logging of events as `key=value` lines, with a rate limit for each kind of event."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from collections.abc import Callable
 from typing import TextIO
 
-MAX_LINES_PER_EVENT = 20  # of one module and event in a window; the rest are counted
-RATE_LIMIT_WINDOW_S = 10.0  # seconds
-UNLIMITED_EVENTS = frozenset({"client_verified"})  # an audit trail of who connected: all are logged
+MAX_LINES_PER_EVENT = 20  # for each module and event in a window; further lines are counted
+RATE_LIMIT_WINDOW_S = 10.0
+UNLIMITED_EVENTS = frozenset({"client_verified"})  # the audit trail of verified clients is complete
 
 
 def log_event(logger: logging.Logger, level: int, event: str, **fields: object) -> None:
-    """Log an event with its fields; nothing is formatted if the level is off."""
+    """Log an event with its fields; the event is not formatted if its level is disabled."""
     if logger.isEnabledFor(level):
         logger.log(level, event, extra={"fields": fields})
 
@@ -44,7 +44,7 @@
 
 
 def parse_log_fields(line: str) -> dict[str, str]:
-    """Return the fields of a line that `KeyValueFormatter` has written."""
+    """Return the fields of a line that `KeyValueFormatter` formatted."""
     return {key: _unescape(quoted) or plain for key, quoted, plain in _FIELD_PATTERN.findall(line)}
 
 
@@ -58,11 +58,11 @@
     converter = time.gmtime
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line of a record, without its end."""
+        """Return the line of a record, without a line end."""
         timestamp = self.formatTime(record, "%Y-%m-%dT%H:%M:%S") + f".{int(record.msecs):03d}Z"
         pairs: dict[str, object] = {"time": timestamp, "level": record.levelname.lower()}
         pairs["pid"] = os.getpid()
-        pairs["monotonic_ms"] = 1000.0 * time.monotonic()  # orders the lines of two processes
+        pairs["monotonic_ms"] = 1000.0 * time.monotonic()  # gives the order of lines of two processes
         pairs["part"] = record.name.removeprefix("rosepick.")
         pairs["event"] = record.getMessage()
         pairs.update(getattr(record, "fields", {}))
@@ -70,9 +70,10 @@
 
 
 class LogRateLimiter(logging.Filter):
-    """Passes a few lines of each module and event in a window, counted by a monotonic clock in seconds.
+    """Limits the number of lines for each module and event in a time window.
 
-    The first line of the next window has the number of those that did not pass, in `suppressed`.
+    The first line of the next window has the number of suppressed lines, in the field `suppressed`. `clock`
+    is a monotonic clock in seconds.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -81,7 +82,7 @@
         self._windows: dict[tuple[str, str], tuple[float, int]] = {}  # start and count, by module and event
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether a record is logged."""
+        """Return whether a record is logged."""
         if record.msg in UNLIMITED_EVENTS:
             return True
         key = record.name, str(record.msg)
@@ -97,7 +98,7 @@
 
 
 def configure_logging(stream: TextIO | None = None) -> None:
-    """Send the package's log to a stream, to standard error by default."""
+    """Write the log of the package to a stream, by default to standard error."""
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     handler.addFilter(LogRateLimiter())
@@ -105,4 +106,4 @@
     root.handlers[:] = [handler]
     root.setLevel(logging.INFO)
     root.propagate = False
-    logging.raiseExceptions = False  # a closed log pipe must not print a traceback for each line
+    logging.raiseExceptions = False  # without this, each line to a closed pipe would print a traceback
--- a/rosepick/ops/__init__.py
+++ b/rosepick/ops/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask a running router: the admin protocol and the telemetry document. No I/O."""
+"""Admin protocol and telemetry document of a running router, without I/O."""
--- a/rosepick/ops/line_protocol.py
+++ b/rosepick/ops/line_protocol.py
@@ -1,22 +1,22 @@
-"""The protocol of the admin listener, as a state machine without I/O: one command line, one reply."""
+"""Protocol of the admin listener, without I/O: a client sends one command line and gets one reply."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-MAX_LINE_BYTES = 256  # of a command, with its end of line
-MAX_ECHOED_CHARS = 40  # of an unknown command that are repeated in the reply
+MAX_LINE_BYTES = 256  # longest command line, with its line end
+MAX_ECHOED_CHARS = 40  # longest part of an unknown command that the reply repeats
 
 
 @dataclass(frozen=True, slots=True)
 class AdminReply:
-    """The reply to a command."""
+    """Holds the reply to a command."""
 
     ok: bool
     text: str = ""
-    extra_lines: tuple[str, ...] = ()  # lines after the first
-    is_document: bool = False  # the text is sent without `OK` in front; the last extra line marks its end
+    extra_lines: tuple[str, ...] = ()  # lines after the first line
+    is_document: bool = False  # sends the text without `OK`; the last extra line marks its end
 
     def encode(self) -> bytes:
         """Return the bytes of the reply."""
@@ -26,11 +26,11 @@
 
 
 AdminCommands = Mapping[str, Callable[[], AdminReply]]
-"""What runs each command, by its name."""
+"""Functions that run the commands, by the names of the commands."""
 
 
 class AdminProtocol:
-    """One connection. It reads up to the first end of line and replies once; what follows is ignored."""
+    """Handles one connection: replies to the first line, and ignores all bytes after it."""
 
     def __init__(self, commands: AdminCommands) -> None:
         self._commands = commands
@@ -38,10 +38,10 @@
         self.is_done = False
 
     def feed(self, data: bytes) -> bytes:
-        """Accept received bytes, and return the reply, or nothing while the line is not complete."""
+        """Parse received bytes; return the reply, or no bytes while the line is incomplete."""
         if self.is_done:
             return b""
-        # no more than a line is ever buffered: guards against one without an end
+        # Buffers one line at most. The limit guards against a line without an end.
         self._line += data[: MAX_LINE_BYTES + 1 - len(self._line)]
         line, end, _ = self._line.partition(b"\n")
         if end:
@@ -49,7 +49,7 @@
         return self._fail("the call is too long") if len(self._line) > MAX_LINE_BYTES else b""
 
     def feed_eof(self) -> bytes:
-        """Accept the end of the client's stream. A line without an end is an error, not a command."""
+        """Handle the end of the client's stream; return the error reply to an incomplete line."""
         return b"" if self.is_done else self._fail("the call has no end")
 
     def _run_command(self, line: bytes) -> bytes:
--- a/rosepick/ops/telemetry.py
+++ b/rosepick/ops/telemetry.py
@@ -1,4 +1,4 @@
-"""The telemetry document: the router's counters as JSON on one line."""
+"""Encodes the telemetry document: the counters of the router as JSON on one line."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
     RequestOutcome.DEADLINE_EXCEEDED: "failure",
     RequestOutcome.INTERNAL_ERROR: "failure",
 }
-"""The counter of a class that each outcome counts in. Requests whose client has gone count in none."""
+"""Counter of the request class by outcome. No counter includes requests whose client disconnected."""
 
 
 @dataclass(frozen=True, slots=True)
 class TelemetrySnapshot:
-    """The counters at one moment. Classes are identified by index; removed ones keep theirs.
+    """Holds the counters at one time. Classes are identified by index, including removed classes.
 
-    Fields are named as in the document.
+    Fields have the names of the keys in the document.
     """
 
     class_names: Mapping[int, str]
-    ended_counts: Mapping[tuple[int, RequestOutcome], int]  # ended requests by class and outcome
-    rejected_counts: Mapping[int, int]  # requests that could not be accepted, by class
-    written_counts: Mapping[int, int]  # attempts written whole, by class
+    ended_counts: Mapping[tuple[int, RequestOutcome], int]  # requests that ended, by class and outcome
+    rejected_counts: Mapping[int, int]  # requests that were not accepted, by class
+    written_counts: Mapping[int, int]  # attempts that were written completely, by class
     inflight: int
     hosts_listed: int
     hosts_down: int
     reconfig_ok: int
     reconfig_failed: int
-    violations: int = 0  # of invariants, since the start
+    violations: int = 0  # violations of invariants since the start
 
     def document(self) -> dict[str, object]:
         """Return the document as a JSON object."""
--- a/rosepick/settings/__init__.py
+++ b/rosepick/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of the platform and of the operators: read, typed and checked."""
+"""Readers and validators of the configuration, the operators' file and the fleet file."""
--- a/rosepick/settings/config.py
+++ b/rosepick/settings/config.py
@@ -1,4 +1,4 @@
-"""The router's configuration: the file that GW_CONFIG names, and what a reload applies of a new one."""
+"""Reads the configuration file that GW_CONFIG names, and merges a new version of it at a reload."""
 
 from __future__ import annotations
 
@@ -23,8 +23,9 @@
 _CLASSES_PATH = "settings.request_classes"
 _CLASS_KEYS = ("name", "deadline", "objective", "effect", "worth")
 
-# What a running router does not apply, by field; of settings and names with the place in the file.
+# Fields of `Config` that a reload does not change.
 _START_ONLY_FIELDS = ("name", "listen", "seed", "ops")
+# Fields of `RouterSettings` that a reload does not change, with their paths in the file.
 _START_ONLY_SETTINGS = {
     "mode": "domain.mode",
     "origin_kind": "domain.origin_kind",
@@ -33,26 +34,26 @@
     "sized_weights": "weights",
     "report_fields": "report",
 }
+# Fields of `NameIndexes` that a reload does not change, with their paths in the file.
 _START_ONLY_NAMES = {"zones": "failure_domains", "kinds": "machine_types"}
 
 RowT = TypeVar("RowT")
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used. The message is one line: the file, the setting, and what is wrong."""
+    """Signals an invalid configuration; the message names the file, the setting and the error on one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class NameIndexes:
-    """The index of each name in the lists of the settings, which stands for it in events and on the wire."""
+    """Maps each name in the lists of the settings to its index, which events and the wire use instead."""
 
     classes: Mapping[str, int]
     tenants: Mapping[str, int]
     zones: Mapping[str, int]
     kinds: Mapping[str, int]
-    removed_classes: Mapping[str, int] = field(
-        default_factory=dict
-    )  # removed by a reload; indexes are not reused
+    # Names that a reload removed keep their indexes, as no index is reused.
+    removed_classes: Mapping[str, int] = field(default_factory=dict)
     removed_tenants: Mapping[str, int] = field(default_factory=dict)
 
     def all_classes(self) -> dict[str, int]:
@@ -66,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of one router. Addresses are host and port."""
+    """Holds the configuration of one router. Addresses are pairs of host and port."""
 
     name: str
     listen: tuple[str, int]
@@ -78,15 +79,15 @@
     names: NameIndexes
     idle_timeout_ms: float
     connect_timeout_ms: float
-    known: SettingsReader  # the endpoint list to start with
-    ops: tuple[str, int] | None = None  # of the admin listener
+    known: SettingsReader  # the endpoint list at the start
+    ops: tuple[str, int] | None = None  # address of the admin listener
     listen_fd: int | None = None  # descriptor of an inherited listening socket
-    # the keys that the file has, by their paths; of classes those that each of them has
+    # Paths of the keys in the file; of request classes, only the keys that every class has.
     key_paths: frozenset[str] = frozenset()
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Return the host and the port of `host:port`; ValueError if it has another form."""
+    """Return the host and the port of `host:port`. Raises ValueError if the text has another form."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise ValueError(f"{text!r} is not {ADDRESS_FORMAT}")
@@ -94,16 +95,16 @@
 
 
 def merge_reload(current: Config, new: Config) -> Config:
-    """Return the configuration in force once a running router has read a new file.
+    """Return the configuration that a running router uses after it has read a new file.
 
-    A class or a tenant keeps its index, also one that was removed: pending requests refer to indexes. What
-    needs a restart stays as it was.
+    Classes and tenants keep their indexes, including removed ones, because pending requests refer to indexes.
+    Settings that need a restart keep their current values.
 
     Raises:
         InvalidSettingError: A key of the current file is missing in the new one.
     """
     missing_keys = sorted(current.key_paths - new.key_paths)
-    if missing_keys:  # guards against rules that fall back to defaults as a file was cut or a line of it lost
+    if missing_keys:  # guards against a truncated file or a lost line, which would reset rules to defaults
         raise InvalidSettingError(f"setting {missing_keys[0]} is missing; the file in force has it")
     class_indexes, classes = _merge_indexes(
         current.names.all_classes(), current.settings.classes, new.names.classes, new.settings.classes
@@ -131,7 +132,7 @@
 
 
 def settings_needing_restart(current: Config, new: Config) -> tuple[str, ...]:
-    """Return the places of changed settings that a running router does not apply."""
+    """Return the paths of changed settings that take effect only after a restart."""
     parts = (
         (current, new, {name: name for name in _START_ONLY_FIELDS}),
         (current.settings, new.settings, _START_ONLY_SETTINGS),
@@ -151,7 +152,7 @@
     new_indexes: Mapping[str, int],
     new_rows: Sequence[RowT],
 ) -> tuple[dict[str, int], tuple[RowT, ...]]:
-    """Return an index for every old and new name, old ones unchanged, and the row at each index."""
+    """Return an index for each old and new name, and the row at each index; old indexes do not change."""
     indexes = {**old_indexes}
     for name in new_indexes:
         indexes.setdefault(name, len(indexes))
@@ -198,13 +199,13 @@
         position = f"line {error.lineno} column {error.colno}"
         raise InvalidSettingError(f"not valid JSON: {error.msg}: {position}") from None
     except UnicodeDecodeError as error:
-        raise InvalidSettingError(f"not valid JSON: byte {error.start} is no UTF-8") from None
+        raise InvalidSettingError(f"not valid JSON: byte {error.start} is not UTF-8") from None
     except RecursionError:
-        raise InvalidSettingError("not valid JSON: too deep") from None
+        raise InvalidSettingError("not valid JSON: nested too deeply") from None
 
 
 def apply_environment(config: Config, environment: Mapping[str, str]) -> Config:
-    """Return the configuration with what the environment adds; for GW_OPS the file has precedence.
+    """Return the configuration with the values of GW_OPS and GW_LISTEN_FD; the file overrides GW_OPS.
 
     Raises:
         ValueError: GW_OPS is not an address, or GW_LISTEN_FD not a descriptor.
@@ -255,9 +256,9 @@
 
 
 def _with_polled_membership(settings: api.RouterSettings) -> api.RouterSettings:
-    """Return settings that have the router poll for endpoint lists.
+    """Return settings with which the router polls for endpoint lists.
 
-    On sockets no list arrives unasked: a list that is pushed goes to an agent, which the router has to poll.
+    The discovery service does not push lists to routers. It pushes them to an agent, which the router polls.
     """
     return replace(settings, subscribe=True, pushed=not settings.subscribe)
 
@@ -271,12 +272,12 @@
 
 
 def _key_paths(node: object, path: str) -> Iterator[str]:
-    """Yield the paths of all keys, but those that only some classes have and those of the endpoint list."""
+    """Yield the paths of all keys, except in the endpoint list and keys that only some classes have."""
     if not isinstance(node, dict):
         return
     for key, value in node.items():
         if value is None:
-            continue  # null is read as the default, like a missing key
+            continue  # null selects the default, like a missing key
         key_path = f"{path}.{key}" if path else key
         yield key_path
         if key_path == _CLASSES_PATH and isinstance(value, list):
--- a/rosepick/settings/fleet_file.py
+++ b/rosepick/settings/fleet_file.py
@@ -1,6 +1,6 @@
-"""The fleet's file (`deploy/fleet.toml`): replicas and key of the quorum, leases, drains and rollouts.
+"""Reads the fleet file (`deploy/fleet.toml`): replicas and key of the quorum, leases, drains and rollouts.
 
-`serve` does not read it. All faults are reported at once, each with its place.
+`serve` does not read this file. All errors are reported at once, each with its path in the file.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
 WAVE_PATTERN = r"^(zone|rest|(100|[1-9][0-9]?)%)$"
 MIN_KEY_BYTES = 16
-MAX_REPLICAS = 8  # a quorum has 7 at most, and one more while one is replaced
+MAX_REPLICAS = 8  # a quorum of 7, and one more while a replica is replaced
 MINUTES_PER_HOUR = 60
-MIN_BEATS_OF_SILENCE = 3.0
-MIN_PROBATION_OF_SETTLE = 2.0
+MIN_SILENT_TO_BEAT_RATIO = 3.0
+MIN_PROBATION_TO_SETTLE_RATIO = 2.0
 MAX_PORT = 65_535
 
 
 class FleetFileError(Exception):
-    """The file cannot be used; `faults` has one line for each fault, with its place."""
+    """Signals an invalid file; `faults` has one line for each error, with its path in the file."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("\n".join(faults))
@@ -34,9 +34,9 @@
 
 
 class LeaseSettings(_Section):
-    """How leases are held, unless a command says otherwise.
+    """Holds the defaults of leases, which options of a command override.
 
-    `ttl` is the time to live in seconds; `drift` is the largest share by which the rate of any clock is off.
+    `ttl` is the time to live in seconds. `drift` is the largest relative error of the rate of any clock.
     """
 
     ttl: Annotated[float, Field(ge=0.5, le=3600)] = 10.0
@@ -47,12 +47,13 @@
 MemberCount = Annotated[int, Field(ge=0, le=1_000)]
 
 
-class OutLimits(_Section):
-    """How many members of a kind may be out at one time, in all and in one zone.
+class OutageLimits(_Section):
+    """Limits how many members of a kind may be out at the same time, in the fleet and in one zone.
 
-    `most` limits their count, `share` and `weight` their part of all members and of all weight (0 to 1); the
-    fields with `zone_` do so within a zone. `stay` members of each zone stay in. `least` may be out however
-    little capacity the store has.
+    `most` limits the number of members that are out. `share` and `weight` limit their fraction of all members
+    and of all weight (0 to 1). The fields with the prefix `zone_` set the same limits for each zone. At least
+    `stay` members of each zone stay in. Short capacity of the origin makes the limits smaller, but not
+    smaller than `least`.
     """
 
     most: Annotated[int, Field(ge=1, le=1_000)] = 1_000
@@ -66,23 +67,24 @@
 
 
 class DrainSettings(_Section):
-    """The disruption budget of a fleet, and the timeouts of its agents (seconds).
-
-    `group` names the members that are counted together. `closed` has hours of the day (UTC) in which no drain
-    begins, as "07:00-09:30"; `apart` has members that may not be out together, by what they share; `unasked`
-    is how many more than the limit may be lost before drains are halted. `back` limits routers that return
-    from a rollout (None: as `routers`). `halt_above` is the share of a router's requests refused or failed,
-    during a drain, that halts all drains.
-
-    `beat` is the interval of health reports, and `silent` the time without one until a member counts as lost;
-    `lonely` is the time without a quorum until a member that is out returns; `steady` is how long a member
-    has to serve until it counts as back.
+    """Holds the disruption budget of a fleet and the timeouts of its agents, in seconds.
+
+    `group` names the group whose members are counted together. `closed` lists hours of the day (UTC) in which
+    no drain begins, such as "07:00-09:30". `apart` lists members that may not be out together, by the
+    resource that they share. `unasked` is the number of members that may be lost beyond the limit before
+    drains are halted. `back` limits the routers that are out in a rollback; None applies `routers`. All
+    drains are halted if a router refuses or fails more than the fraction `halt_above` of its requests during
+    a drain.
+
+    `beat` is the interval between health reports. A member without reports for `silent` counts as lost. A
+    member that is out returns after `lonely` without a quorum. A member counts as back after it has served
+    for `steady`.
     """
 
     group: Annotated[str, Field(pattern=NAME_PATTERN)] = "main"
-    routers: OutLimits = OutLimits()
-    caches: OutLimits = OutLimits()
-    back: OutLimits | None = None
+    routers: OutageLimits = OutageLimits()
+    caches: OutageLimits = OutageLimits()
+    back: OutageLimits | None = None
     closed: list[Annotated[str, Field(pattern=r"^([01]\d|2[0-3]):[0-5]\d-([01]\d|2[0-3]):[0-5]\d$")]] = []
     apart: dict[str, list[str]] = {}
     unasked: MemberCount = 0
@@ -94,12 +96,12 @@
 
     @model_validator(mode="after")
     def _check_silence(self) -> DrainSettings:
-        if self.silent < MIN_BEATS_OF_SILENCE * self.beat:
+        if self.silent < MIN_SILENT_TO_BEAT_RATIO * self.beat:
             raise ValueError("silent is less than three beats: a report that is late would count as a loss")
         return self
 
     def closed_minutes(self) -> tuple[tuple[int, int], ...]:
-        """Return the closed hours as minutes of the day: begin and end of each."""
+        """Return the closed hours as pairs of minutes of the day, from begin to end."""
         return tuple(
             (_minute_of_day(begin), _minute_of_day(end))
             for begin, _, end in (hours.partition("-") for hours in self.closed)
@@ -107,23 +109,25 @@
 
 
 def _minute_of_day(text: str) -> int:
-    """Return the minute of the day of a time as "07:30"."""
+    """Return the minute of the day of a time such as "07:30"."""
     return MINUTES_PER_HOUR * int(text[:2]) + int(text[3:])
 
 
 class ReleaseSettings(_Section):
-    """How rollouts are led (times in seconds).
-
-    `waves` has the steps of a rollout: a number of routers, a share of all ("2%"), "zone" (the rest of the
-    zone that was begun), or "rest" (each other zone in turn). `watch` is the shortest observation of a wave,
-    and `patience` the longest; if its figures are still undecided then, `unsure` says whether an operator is
-    asked or the rollout goes on. `after` is the observation after the last wave.
-
-    A new version counts as back once it has served for `settle`, within `probation`. A member that is lost
-    for `lost_for` is left behind, and `failing` is the share of a wave that may fail to start. Figures are
-    pooled over intervals of `pool`. `alarm` is the probability that a version which is no worse is taken for
-    worse. While more than `line` of all requests is lost, by the old version as well, nothing is concluded.
-    `auto_back` rolls a worse version back without being asked.
+    """Configures rollouts; times are in seconds.
+
+    `waves` lists the waves of a rollout: a number of routers, a percentage of all routers ("2%"), "zone" (the
+    remaining routers of the zone in which the rollout began), or "rest" (the other zones, one after the
+    other). `watch` is the shortest and `patience` the longest observation of a wave. If the canary analysis
+    has no result after `patience`, `unsure` selects whether the rollout asks an operator or continues.
+    `after` is the time of observation after the last wave.
+
+    A router with a new version counts as back after it has served for `settle`, which it has to reach within
+    `probation`. The rollout skips a member that is lost for `lost_for`. `failing` is the fraction of a wave
+    that may fail to start. The canary analysis pools measurements over intervals of `pool`. `alarm` is its
+    false-positive rate: the probability that it takes a version for worse that is not. It yields no result
+    while routers of the old version, too, lose more than the fraction `line` of all requests. With
+    `auto_back`, a worse version is rolled back without a command of an operator.
     """
 
     waves: list[Annotated[int, Field(ge=1, le=1_000)] | Annotated[str, Field(pattern=WAVE_PATTERN)]] = [
@@ -148,7 +152,7 @@
 
     @model_validator(mode="after")
     def _check_times(self) -> ReleaseSettings:
-        if self.probation < MIN_PROBATION_OF_SETTLE * self.settle:
+        if self.probation < MIN_PROBATION_TO_SETTLE_RATIO * self.settle:
             raise ValueError("probation is less than two times settle: a start that is late would fail it")
         if self.patience < self.watch:
             raise ValueError("patience is less than watch")
@@ -156,10 +160,10 @@
 
 
 class FleetFile(_Section):
-    """The whole file.
+    """Holds the content of the fleet file.
 
-    `witnesses` has the replicas of the quorum, as name and host:port. The bytes of `key_file` (a path beside
-    this file) authenticate the messages between processes.
+    `witnesses` maps the names of the quorum's replicas to `host:port`. The content of `key_file`, a path
+    relative to this file, authenticates the messages between processes.
     """
 
     witnesses: dict[Annotated[str, Field(pattern=NAME_PATTERN)], str]
@@ -188,10 +192,10 @@
 
 
 def load(path: Path) -> tuple[FleetFile, bytes]:
-    """Read the fleet's file and its key (empty: none).
+    """Read the fleet file and its key; the key is empty if the file names none.
 
     Raises:
-        FleetFileError: the file or its key cannot be read, or a value is invalid; it has all faults.
+        FleetFileError: the file or its key cannot be read, or values are invalid; it lists all errors.
     """
     try:
         document = tomllib.loads(path.read_text("utf-8"))
--- a/rosepick/settings/operator_file.py
+++ b/rosepick/settings/operator_file.py
@@ -1,6 +1,6 @@
-"""The operators' file: one `name value` a line, and `#` for comments.
+"""Reads the operators' file, which holds one `name value` per line and comments after `#`.
 
-A table declares the settings. A file is checked as a whole, and all its errors are reported at once.
+A table declares the settings. The whole file is checked, and all its errors are reported at once.
 """
 
 from __future__ import annotations
@@ -12,35 +12,35 @@
 from pathlib import Path
 
 SettingValue = int | float | str | None
-MAX_CAPTURE_KIB = 768  # of all segments of the capture together
+MAX_CAPTURE_KIB = 768  # limits the size of all segments of the capture together
 
 _COMMENT = re.compile(r"(?:^|(?<=\s))#.*")
 _DURATION = re.compile(r"([0-9]{1,9}(?:\.[0-9]{1,6})?) ?s?")
 _UTF8_BYTE_ORDER_MARK = b"\xef\xbb\xbf"
-_MAX_INTEGER_DIGITS = 12  # that are converted; more are out of any range
-_MIN_SUGGESTION_SIMILARITY = 0.5  # of a known name to an unknown one, 0 to 1
+_MAX_INTEGER_DIGITS = 12  # longer numbers are outside the range of every setting
+_MIN_SUGGESTION_SIMILARITY = 0.5  # from 0 to 1, between an unknown name and the suggested one
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """A text setting: its name and its default."""
+    """Declares a text setting by its name and its default."""
 
     name: str
     default: SettingValue = None
-    is_reloadable: bool = False  # whether a running router applies a new value after SIGHUP
+    is_reloadable: bool = False  # a running router applies a new value after SIGHUP
 
     def parse(self, text: str) -> SettingValue:
-        """Return the value of a text. Raises ValueError, whose message ends a sentence about the text."""
+        """Return the value that a text stands for. Raises ValueError, whose message describes the text."""
         return text
 
     def format_value(self, value: SettingValue) -> str:
-        """Return a value as the file has it."""
+        """Return the form that a value has in the file."""
         return "not set" if value is None else str(value)
 
 
 @dataclass(frozen=True, slots=True)
 class IntegerSetting(Setting):
-    """A whole number from `minimum` to `maximum`."""
+    """Declares a setting that is an integer from `minimum` to `maximum`."""
 
     minimum: int = 0
     maximum: int = 2**31
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DurationSetting(Setting):
-    """A time in seconds from `minimum` to `maximum`, with or without its unit `s`."""
+    """Declares a setting that is a time in seconds, from `minimum` to `maximum`; the unit `s` is optional."""
 
     minimum: float = 0.0
     maximum: float = 86_400.0
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChoiceSetting(Setting):
-    """One of a few texts."""
+    """Declares a setting that is one of `choices`."""
 
     choices: tuple[str, ...] = ()
 
@@ -107,12 +107,12 @@
     IntegerSetting("accept_queue", 1024, is_reloadable=True, minimum=1, maximum=65_535),
     IntegerSetting("tls_handshake_part", 25, is_reloadable=True, minimum=1, maximum=100),
 )
-"""All settings of a router, by feature."""
+"""All settings of a router, grouped by feature."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingFault:
-    """An error in the file, with its line; None if it is the file as a whole."""
+    """Describes an error in the file; `line` is None if the error concerns the whole file."""
 
     source: str
     line: int | None
@@ -124,7 +124,7 @@
 
 
 class OperatorFileError(Exception):
-    """The operators' file cannot be used. `faults` has all errors of the file."""
+    """Signals an invalid operators' file; `faults` has all its errors."""
 
     def __init__(self, faults: tuple[SettingFault, ...]) -> None:
         super().__init__("; ".join(map(str, faults)))
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
-    """The values in force, the lines of the file that set them, and the errors of the file."""
+    """Holds the current values, the numbers of the lines that set them, and the errors of the file."""
 
     settings: tuple[Setting, ...]
     values: Mapping[str, SettingValue]
@@ -142,39 +142,43 @@
     source: str = ""
 
     def integer(self, name: str) -> int:
-        """Return the value of a whole number."""
+        """Return the value of an integer setting."""
         value = self.values[name]
         assert isinstance(value, int)
         return value
 
     def seconds(self, name: str) -> float:
-        """Return the value of a time, in seconds."""
+        """Return the value of a time setting, in seconds."""
         value = self.values[name]
         assert isinstance(value, float)
         return value
 
     def text(self, name: str) -> str | None:
-        """Return the value of a text; None if it is not set."""
+        """Return the value of a text setting, or None if it is not set."""
         value = self.values[name]
         assert value is None or isinstance(value, str)
         return value
 
     def optional_integer(self, name: str) -> int | None:
-        """Return the value of a whole number; None if it is not set."""
+        """Return the value of an integer setting, or None if it is not set."""
         value = self.values[name]
         assert value is None or isinstance(value, int)
         return value
 
     def make_fault(self, name: str, text: str) -> SettingFault:
-        """Return an error with the line of a setting."""
+        """Return an error that names the line of a setting."""
         return SettingFault(self.source, self.lines.get(name), text)
 
     def changed_settings(self, other: OperatorFile) -> list[Setting]:
-        """Return the settings that have another value in the other file."""
-        return [one for one in self.settings if self.values[one.name] != other.values.get(one.name)]
+        """Return the settings whose values differ between this file and another one."""
+        return [
+            setting
+            for setting in self.settings
+            if self.values[setting.name] != other.values.get(setting.name)
+        ]
 
     def effective_lines(self) -> Iterator[str]:
-        """Yield a line for each value in force, with its source."""
+        """Yield a line for each current value, with the place in the file that sets it."""
         for setting in self.settings:
             line = self.lines.get(setting.name)
             source = "default" if line is None else f"{self.source} line {line}"
@@ -182,7 +186,7 @@
 
 
 def read(data: bytes, source: str, table: tuple[Setting, ...] = SETTINGS) -> OperatorFile:
-    """Return the settings in the content of a file, with its errors; `source` names the file in them."""
+    """Return the settings and errors in the content of a file; the errors name the file as `source`."""
     values = {setting.name: setting.default for setting in table}
     lines: dict[str, int] = {}
     faults: list[SettingFault] = []
@@ -203,7 +207,7 @@
 
 
 def _check_combinations(file: OperatorFile) -> Iterator[SettingFault]:
-    """Yield the errors of settings that are each valid alone, but not together."""
+    """Yield the errors of settings that are valid alone but not in combination."""
     if file.settings is SETTINGS:
         yield from _check_capture_size(file)
         yield from _check_tls(file)
@@ -237,7 +241,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Assignment:
-    """A line of the file: a setting and its value."""
+    """Holds the name and the value that a line of the file sets."""
 
     name: str
     value: SettingValue
@@ -246,10 +250,10 @@
 def _parse_line(
     raw_line: bytes, settings: Mapping[str, Setting], lines: Mapping[str, int]
 ) -> _Assignment | None:
-    """Return what a line sets; None for a blank one or a comment.
+    """Return the assignment in a line, or None for a blank line or a comment.
 
     Raises:
-        ValueError: The line cannot be used. UnicodeDecodeError, which is one, if it is not UTF-8.
+        ValueError: The line is invalid. Its subclass UnicodeDecodeError: the line is not UTF-8.
     """
     text = _COMMENT.sub("", raw_line.decode()).strip()
     if not text:
@@ -272,12 +276,12 @@
 
 
 def defaults(table: tuple[Setting, ...] = SETTINGS) -> OperatorFile:
-    """Return the settings in force without a file."""
+    """Return the default settings, which apply without a file."""
     return read(b"", "", table)
 
 
 def read_file(path: str | Path, table: tuple[Setting, ...] = SETTINGS) -> OperatorFile:
-    """Return the settings in a file, with its errors; that it cannot be read is one of them."""
+    """Return the settings and errors of a file; an unreadable file counts as an error, too."""
     source = Path(path).name
     try:
         return read(Path(path).read_bytes(), source, table)
@@ -290,13 +294,13 @@
     """Return the settings in a file, or the defaults without one.
 
     Raises:
-        OperatorFileError: The file has errors, or cannot be read.
+        OperatorFileError: The file is invalid or cannot be read.
     """
     return require_valid(defaults(table) if path is None else read_file(path, table))
 
 
 def require_valid(file: OperatorFile) -> OperatorFile:
-    """Return the file itself. Raises OperatorFileError if it has errors."""
+    """Return `file`, or raise OperatorFileError if it has errors."""
     if file.faults:
         raise OperatorFileError(file.faults)
     return file
@@ -304,7 +308,7 @@
 
 @dataclass(slots=True)
 class OperatorOptions:
-    """What operators set for a router: their file, how to read it again, and the command line's switches."""
+    """Holds the operators' file of a router, the function that reads it again, and command line switches."""
 
     file: OperatorFile = field(default_factory=defaults)
     reload: Callable[[], OperatorFile] | None = None
--- a/rosepick/settings/reader.py
+++ b/rosepick/settings/reader.py
@@ -1,6 +1,6 @@
-"""Reads typed values out of JSON, and the decision module's settings of these; standard library only.
+"""Reads typed values and the settings of the decision module from JSON; uses the standard library only.
 
-The router's configuration and the simulator's first message hold the same object, which is read here.
+The router's configuration and the PROVISION record of the simulator hold the settings in the same form.
 """
 
 from __future__ import annotations
@@ -27,43 +27,43 @@
 
 
 class InvalidSettingError(ValueError):
-    """A setting is missing or cannot be used; the message names its place in the document."""
+    """Signals a missing or invalid setting; the message names its path in the document."""
 
 
 class SettingsReader:
-    """Reads typed values out of a JSON object.
+    """Reads typed values from a JSON object.
 
-    Each method raises InvalidSettingError, with the place of the value, if it cannot be used.
+    Each method raises InvalidSettingError, with the path of the value, if the value is invalid.
     """
 
     def __init__(self, data: Any, path: str) -> None:
-        """Read `data`, which stands at `path` of the document; InvalidSettingError if it is not an object."""
+        """Read from `data`, the object at `path`. Raises InvalidSettingError if `data` is not an object."""
         if not isinstance(data, dict):
             raise InvalidSettingError(f"setting {path or 'env'} is not an object")
         self.data: dict[str, Any] = data
         self.path = path
 
     def path_of(self, key: str) -> str:
-        """Return the place of a key in the document."""
+        """Return the path of a key in the document."""
         return f"{self.path}.{key}" if self.path else key
 
     def section(self, key: str) -> SettingsReader:
-        """Return a reader of the object at a key; of an empty one if there is none."""
+        """Return a reader of the object at a key, or of an empty object if the key is missing."""
         return self.child(self.data.get(key) or {}, self.path_of(key))
 
     def child(self, data: Any, path: str) -> SettingsReader:
-        """Return a reader of the same kind for a part of the document."""
+        """Return a reader of the same class for a part of the document."""
         return SettingsReader(data, path)
 
     def rows(self, key: str) -> list[SettingsReader]:
-        """Return a reader for each object of the list at a key; none if it is missing."""
+        """Return a reader for each object in the list at a key; the list is empty if the key is missing."""
         rows = self.data.get(key) or []
         if not isinstance(rows, list):
             raise InvalidSettingError(f"setting {self.path_of(key)} is not a list")
         return [self.child(row, f"{self.path_of(key)}[{index}]") for index, row in enumerate(rows)]
 
     def number(self, key: str, default: float | None = None) -> float:
-        """Return a finite number. Without a default it has to be there."""
+        """Return a finite number. Without a default, the key is mandatory."""
         value = self.data.get(key)
         if value is None:
             if default is None:
@@ -71,34 +71,34 @@
             return float(default)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise InvalidSettingError(f"setting {self.path_of(key)} is {value!r}, not a number")
-        if not isfinite(value):  # as 1e999 reads
+        if not isfinite(value):  # 1e999, for example, is read as infinity
             raise InvalidSettingError(f"setting {self.path_of(key)} is {value!r}, not a finite number")
         return float(value)
 
     def integer(self, key: str, default: int) -> int:
-        """Return a whole number, which may be written as 3.0."""
+        """Return an integer; the document may write it with a zero fraction, such as 3.0."""
         value = self.number(key, default)
         if not value.is_integer():
             raise InvalidSettingError(f"setting {self.path_of(key)} is {value!r}, not a whole number")
         return int(value)
 
     def boolean(self, key: str) -> bool:
-        """Return true or false; false if it is missing."""
+        """Return a boolean, which is false if the key is missing."""
         value = self.data.get(key, False)
         if not isinstance(value, bool):
             raise InvalidSettingError(f"setting {self.path_of(key)} is {value!r}, not true or false")
         return value
 
     def text(self, key: str) -> str:
-        """Return a text that is not empty."""
+        """Return a non-empty text; the key is mandatory."""
         value = self.data.get(key)
         if not isinstance(value, str) or not value:
             raise InvalidSettingError(f"setting {self.path_of(key)} is {value!r}, not a text")
         return value
 
     def parsed(self, key: str, parse: Callable[[str], ValueT], expected: str, fallback: ValueT) -> ValueT:
-        """Return what `parse` makes of a text; `expected` names its form in the error message."""
-        del fallback  # returned only by readers that go on after an error
+        """Return the result of `parse` for a text; the error message names the form `expected`."""
+        del fallback  # returned only by readers that continue after an error
         value = self.text(key)
         try:
             return parse(value)
@@ -106,7 +106,7 @@
             raise InvalidSettingError(f"setting {self.path_of(key)} is {value!r}, not {expected}") from None
 
     def names(self, key: str) -> tuple[str, ...]:
-        """Return the names in a list, whose entries are names or objects with a `name`."""
+        """Return the names in a list; its entries are names, or objects with the key `name`."""
         rows = self.data.get(key) or []
         if not isinstance(rows, list):
             raise InvalidSettingError(f"setting {self.path_of(key)} is not a list")
@@ -126,7 +126,7 @@
     """Return the settings in the JSON text of a PROVISION record; unknown keys are ignored.
 
     Raises:
-        InvalidSettingError: The text is not JSON, or a setting cannot be used.
+        InvalidSettingError: The text is not JSON, or a setting is invalid.
     """
     try:
         reader = SettingsReader(json.loads(document), "")
@@ -139,7 +139,7 @@
     """Return the settings in a JSON object; unknown keys are ignored.
 
     Raises:
-        InvalidSettingError: A setting cannot be used.
+        InvalidSettingError: A setting is invalid.
     """
     domain, limits, rules, costs = (reader.section(key) for key in ("domain", "limits", "rules", "costs"))
     report = reader.section("report")
--- a/rosepick/simulator/__init__.py
+++ b/rosepick/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module on the simulator's protocol. Standard library only."""
+"""Runs the decision module on the simulator's protocol; uses the standard library only."""
--- a/rosepick/simulator/__main__.py
+++ b/rosepick/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m rosepick.simulator`: `sim` in deploy/balancer.toml."""
+"""Runs the simulator host: the command `sim` in deploy/balancer.toml."""
 
 import sys
 
--- a/rosepick/simulator/host.py
+++ b/rosepick/simulator/host.py
@@ -1,7 +1,7 @@
-"""Hosts router instances on the simulator's protocol: standard input in, standard output out.
+"""Hosts router instances on the simulator's protocol, over standard input and standard output.
 
-No decisions are made here. Malformed input ends the process with exit status 1 and a message of one line: in
-a BROKEN record and on standard error where the instance is known, else on standard error only.
+The host makes no decisions. Malformed input ends the process with exit status 1 and a message of one line on
+standard error. If the instance is known, a BROKEN record has the message, too.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class InstanceError(Exception):
-    """An instance cannot continue; the message says why, in one line."""
+    """Signals that an instance cannot continue; the message is the reason, in one line."""
 
     def __init__(self, instance_id: int, reason: str) -> None:
         super().__init__(reason)
@@ -30,7 +30,7 @@
 
 
 class HostStoppedError(Exception):
-    """The process must end, after it has sent `last_reply`."""
+    """Signals that the process has to end after it has sent `last_reply`."""
 
     def __init__(self, reason: str, last_reply: bytes) -> None:
         super().__init__(reason)
@@ -38,7 +38,7 @@
 
 
 class SimulatorHost:
-    """All router instances of one process, and the endpoint lists that their events refer to."""
+    """Holds all router instances of one process, and the endpoint lists that their events refer to."""
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
@@ -49,7 +49,7 @@
 
         Raises:
             HostStoppedError: an instance cannot continue.
-            wire.WireError: the batch is malformed and no instance is known.
+            wire.WireError: the batch is malformed, and the instance is not known.
         """
         header = wire.decode_batch_header(body)
         replies: list[bytes] = []
@@ -63,11 +63,11 @@
         return wire.encode_reply(header.batch_number, replies)
 
     def handle_record(self, now: float, code: int, fields: bytes, replies: list[bytes]) -> None:
-        """Apply one record, and append the records that answer it to `replies`.
+        """Apply one record, and append the resulting records to `replies`.
 
         Raises:
-            InstanceError: the record is not valid for its instance, or the decision module failed.
-            wire.WireError: the record is malformed and its instance is not known.
+            InstanceError: the record is invalid for its instance, or the decision module raised an exception.
+            wire.WireError: the record is malformed, and its instance is not known.
         """
         if code == InputCode.ENDPOINT_LIST:
             list_number, endpoints = wire.decode_endpoint_list(fields)
@@ -94,7 +94,7 @@
 
 
 def _decide(instance_id: int, router: Router, now: float, event: api.Event) -> list[api.Action]:
-    """Pass one event to a router; a failure is reported with the place where it was raised."""
+    """Pass one event to a router; an InstanceError names the source line that raised an exception."""
     try:
         return router.handle(now, event)
     except Exception as error:
@@ -115,7 +115,7 @@
 
 
 def read_batch(source: BinaryIO) -> bytes | None:
-    """Read the batch of one frame; None at the end of input.
+    """Read the batch of one frame; return None at the end of input.
 
     Raises:
         wire.WireError: the input ends within a frame, or the batch is shorter than its header.
@@ -135,7 +135,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answer batches until the end of input, and return the exit status."""
+    """Reply to batches until the end of input, and return the exit status."""
     host = SimulatorHost()
     try:
         while (body := read_batch(source)) is not None:
--- a/rosepick/simulator/wire.py
+++ b/rosepick/simulator/wire.py
@@ -1,8 +1,8 @@
-"""Codec of the simulator's protocol: binary records to `api` events, and `api` actions to records.
+"""Codec of the simulator's protocol: decodes records to `api` events, and encodes `api` actions as records.
 
-A frame is its length (4 bytes) and a batch: a header (number of records, clock in ms, number of the batch)
-and the records. A record is a code (1 byte), the length of its fields (4 bytes) and the fields. All numbers
-are big-endian. No decisions are made here.
+A frame consists of its length (4 bytes) and a batch. A batch consists of a header (number of records, clock
+in milliseconds, number of the batch) and its records. A record consists of a code (1 byte), the length of
+its fields (4 bytes) and the fields. All numbers are big-endian. The codec makes no decisions.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class WireError(Exception):
-    """The input violates the protocol; the message says how, in one line."""
+    """Signals input that violates the protocol; the message describes the violation in one line."""
 
 
 class InputCode(IntEnum):
@@ -51,7 +51,7 @@
 
 
 class BatchHeader(NamedTuple):
-    """Header of a batch; `clock` in ms."""
+    """Holds the header of a batch; `clock` is in milliseconds."""
 
     record_count: int
     clock: float
@@ -63,7 +63,7 @@
 
 MAX_TEXT_BYTES = 2_000
 
-# flags of a work item; plain numbers, as operations on `IntFlag` are slow
+# Flags of a work item. They are integers because operations on `IntFlag` are slow.
 _HAS_COST_HINT = 1
 _IS_RETRY = 2
 _IS_WRITE = 4
@@ -111,11 +111,11 @@
         raise WireError("record is shorter than its fields") from None
 
 
-# ----------------------------------------------------------------------------------------------- input
+# -------------------------------------------------------------------------------------------------- input
 
 
 def decode_batch_header(body: bytes) -> BatchHeader:
-    """Decode the header of a batch, which has at least 16 bytes.
+    """Decode the header of a batch; `body` has at least 16 bytes.
 
     Raises:
         WireError: the clock is not a finite number.
@@ -130,7 +130,7 @@
     """Yield the code and fields of each record of a batch.
 
     Raises:
-        WireError: the batch and its number of records disagree.
+        WireError: the batch holds more or fewer bytes than its records.
     """
     offset = _BATCH_HEADER.size
     for _ in range(count):
@@ -147,7 +147,7 @@
 
 
 def decode_endpoint_list(fields: bytes) -> tuple[int, Endpoints]:
-    """Decode a POOL record: the number of an endpoint list, and its entries.
+    """Decode an ENDPOINT_LIST record; return the number of the endpoint list and its entries.
 
     Raises:
         WireError: the record is malformed or holds an unknown status.
@@ -165,7 +165,7 @@
 
 
 def decode_instance_id(fields: bytes) -> int:
-    """Decode the id of the instance that a record is for.
+    """Decode the id of the instance that a record addresses.
 
     Raises:
         WireError: the record is too short.
@@ -174,7 +174,7 @@
 
 
 def decode_provision(fields: bytes) -> tuple[int, bytes]:
-    """Decode a PROVISION record: the random seed and the settings in JSON.
+    """Decode a PROVISION record; return the random seed and the settings in JSON.
 
     Raises:
         WireError: the record and the length of its settings disagree.
@@ -186,7 +186,7 @@
 
 
 def decode_event(code: int, fields: bytes, endpoint_lists: EndpointLists) -> api.Event:
-    """Decode the event of one instance; `endpoint_lists` are those defined so far, by number.
+    """Decode the event of one instance; `endpoint_lists` has the lists that were defined, by number.
 
     Raises:
         WireError: the code is unknown, the record malformed, or it names an undefined list.
@@ -264,7 +264,7 @@
 def _decode_peer_message(fields: bytes) -> api.PeerMessage:
     _, peer_id, size = _unpack(_PEER_MESSAGE_HEADER, fields)
     if len(fields) != _PEER_MESSAGE_HEADER.size + size:
-        raise WireError("NOTE_FROM record and the length of its payload disagree")
+        raise WireError("PEER_MESSAGE record and the length of its payload disagree")
     return api.PeerMessage(peer_id, fields[_PEER_MESSAGE_HEADER.size :])
 
 
@@ -293,7 +293,7 @@
     InputCode.PEER_MESSAGE: _decode_peer_message,
 }
 
-# ---------------------------------------------------------------------------------------------- output
+# ------------------------------------------------------------------------------------------------- output
 
 
 def encode_action(instance_id: int, action: api.Action) -> bytes:
@@ -318,15 +318,15 @@
 
 
 def encode_text(code: int, instance_id: int, text: str) -> bytes:
-    """Encode a record of text (`OutputCode.LOG` or `BROKEN`), cut at `MAX_TEXT_BYTES`."""
+    """Encode a LOG or BROKEN record; its text is truncated to `MAX_TEXT_BYTES`."""
     body = text.encode("utf-8", "replace")[:MAX_TEXT_BYTES]
     return _encode_record(code, f">IH{len(body)}s", instance_id, len(body), body)
 
 
 def encode_reply(batch_number: int, records: list[bytes]) -> bytes:
-    """Encode the frame that answers a batch."""
+    """Encode the frame of the reply to a batch."""
     body = b"".join(records)
-    # the length of a frame does not count its own four bytes
+    # The length of a frame excludes its own four bytes.
     return _REPLY_HEADER.pack(_REPLY_HEADER.size - 4 + len(body), len(records), batch_number) + body
 
 
--- a/rosepick/upgrade/__init__.py
+++ b/rosepick/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes of one router during an upgrade: readiness, shares of limits, transfer of state. No I/O."""
+"""Upgrade of a router from one process to the next: shares of limits and state transfer, without I/O."""
--- a/rosepick/upgrade/state_document.py
+++ b/rosepick/upgrade/state_document.py
@@ -1,7 +1,8 @@
-"""The document that carries a router's learned state to the process that replaces it.
+"""Parses the document that transfers a router's learned state to the process that replaces it.
 
-It is a line of JSON (the header) followed by three binary columns in the machine's byte order, with one entry
-for each key: its hash (u64), the endpoint that it last went to (u32) and its decayed reads (f32).
+The document is a line of JSON (the header), followed by three binary columns in the machine's byte order.
+Each column has one entry per key: its hash (u64), the endpoint of its last request (u32), and its decayed
+number of reads (f32).
 """
 
 from __future__ import annotations
@@ -20,21 +21,21 @@
 
 
 class StateDocumentError(ValueError):
-    """A document that cannot be used; the message says which part of it is wrong."""
+    """Signals an invalid document; the message names the invalid part."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyColumns:
-    """The keys of the popularity filter, by column."""
+    """Holds the keys of the popularity filter in columns."""
 
     keys: Sequence[int]
     endpoint_ids: Sequence[int]
-    heats: Sequence[float]  # decayed reads
+    decayed_reads: Sequence[float]
 
 
 @dataclass(frozen=True, slots=True)
 class PoolState:
-    """What is known of the keep pool and of fleet-wide placement."""
+    """Holds the learned state of the keep pool and of fleet-wide placement."""
 
     keep_share: float
     keep_reads: float
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencyState:
-    """Latencies of responses, milliseconds."""
+    """Holds latencies of responses, in milliseconds."""
 
     service_time: float
     mean_latency: float
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OriginState:
-    """What is known of the origin."""
+    """Holds the learned state of the origin."""
 
     latency_ewma: float
     best: float
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShedderState:
-    """What the load shedder has learned."""
+    """Holds the learned state of the load shedder."""
 
     limit: float
     wait_share: float
@@ -70,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointLearnedState:
-    """What is known of one endpoint."""
+    """Holds the learned state of one endpoint."""
 
     endpoint_id: int
     latency_ewma: float
@@ -80,11 +81,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StateDocument:
-    """A parsed document. Every number is finite and not negative; ranges are the importer's business."""
+    """Holds a parsed document. All numbers are finite and not negative; the importer checks their ranges."""
 
     top_limit: int
     reads: int
-    top_count: int  # of the keys, the first ones belong to the filter's top
+    top_count: int  # this many keys, the first ones, belong to the top of the filter
     columns: KeyColumns
     pools: PoolState
     latencies: LatencyState
@@ -94,20 +95,20 @@
 
 
 def exported_at(document: bytes) -> float:
-    """Return when a document was exported, milliseconds of the system's monotonic clock.
+    """Return the time of a document's export, in milliseconds of the system's monotonic clock.
 
     Raises:
-        StateDocumentError: it is not a document of this version.
+        StateDocumentError: the header is malformed or has another version.
     """
     header, _ = _parse_header(document)
     return _checked_number("at", header.get("at"))
 
 
 def parse_state_document(document: bytes) -> StateDocument:
-    """Parse a document and check all of it.
+    """Parse and validate a whole document.
 
     Raises:
-        StateDocumentError: any part of it is missing or malformed.
+        StateDocumentError: a part of the document is missing or malformed.
     """
     header, column_bytes = _parse_header(document)
     top_count = int(_number_field(header, "top", FILTER_CAPACITY))
@@ -125,7 +126,7 @@
 
 
 def _parse_header(document: bytes) -> tuple[dict[str, Any], bytes]:
-    """Return the header and the bytes behind it."""
+    """Return the header and the bytes after it."""
     line, newline, column_bytes = document.partition(b"\n")
     try:
         header = json.loads(line)
@@ -139,18 +140,20 @@
 def _parse_columns(data: bytes, key_count: int) -> KeyColumns:
     keys = array("Q")
     endpoint_ids = array("I")
-    heats = array("f")
+    decayed_reads = array("f")
     keys_end = key_count * keys.itemsize
     endpoint_ids_end = key_count * (keys.itemsize + endpoint_ids.itemsize)
-    expected_length = endpoint_ids_end + key_count * heats.itemsize
+    expected_length = endpoint_ids_end + key_count * decayed_reads.itemsize
     if len(data) != expected_length:
         raise StateDocumentError(f"the state document has {len(data)} bytes of keys, not {expected_length}")
     keys.frombytes(data[:keys_end])
     endpoint_ids.frombytes(data[keys_end:endpoint_ids_end])
-    heats.frombytes(data[endpoint_ids_end:])
-    if not all(isfinite(heat) and heat >= 0 for heat in heats):
-        raise StateDocumentError("the state document has a key whose reads are not a number from 0")
-    return KeyColumns(keys, endpoint_ids, heats)
+    decayed_reads.frombytes(data[endpoint_ids_end:])
+    if not all(isfinite(reads) and reads >= 0 for reads in decayed_reads):
+        raise StateDocumentError(
+            "the state document has a key whose number of reads is negative or not finite"
+        )
+    return KeyColumns(keys, endpoint_ids, decayed_reads)
 
 
 def _is_number(value: object) -> TypeGuard[float]:
--- a/rosepick/upgrade/state_transfer.py
+++ b/rosepick/upgrade/state_transfer.py
@@ -1,7 +1,7 @@
-"""Transfer of a running router's learned state to the process that replaces it.
+"""Transfers the learned state of a running router to the process that replaces it.
 
-Without it the new process takes every key for one that it never saw: hot keys go to other cache nodes, miss
-there, and overload the origin. A document is parsed and checked as a whole before any of it is applied.
+Without the transfer, the new process treats all keys as new ones: hot keys go to other cache nodes, miss
+there, and overload the origin. A document is parsed and validated as a whole before any part is applied.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 
 def export_state(router: Router, now: float) -> bytes:
-    """Return a router's learned state as a document (see `state_document`).
+    """Return the learned state of a router as a document (see `state_document`).
 
-    Times are milliseconds of the system's monotonic clock, which both processes read.
+    `now` is in milliseconds of the system's monotonic clock, which both processes read.
     """
     popularity = router.popularity
     origin = router.origin
@@ -47,23 +47,23 @@
     entries = [*popularity.top.items(), *popularity.tail.items()]
     keys = array("Q", [key for key, _ in entries])
     endpoint_ids = array("I", [endpoint_id for _, (endpoint_id, _, _) in entries])
-    heats = array(
-        "f", [heat * exp((at - popularity.reads) / HEAT_MEMORY_READS) for _, (_, heat, at) in entries]
+    decayed_reads = array(
+        "f", [reads * exp((at - popularity.reads) / HEAT_MEMORY_READS) for _, (_, reads, at) in entries]
     )
     header_line = json.dumps(header).encode() + b"\n"
-    return header_line + keys.tobytes() + endpoint_ids.tobytes() + heats.tobytes()
+    return header_line + keys.tobytes() + endpoint_ids.tobytes() + decayed_reads.tobytes()
 
 
 def import_state(router: Router, document: bytes, now: float) -> int:
-    """Apply a document to a router that has served nobody, and return how many keys it holds.
+    """Apply a document to a router that has served no request; return the number of keys in the document.
 
     Args:
         router: the decision module of the new process.
-        document: what `export_state` returned in the old process.
-        now: the present time, milliseconds of the system's monotonic clock.
+        document: the result of `export_state` in the old process.
+        now: the current time in milliseconds of the system's monotonic clock.
 
     Raises:
-        StateDocumentError: any part of the document is malformed; nothing was applied.
+        StateDocumentError: a part of the document is malformed; the router was not changed.
     """
     state = parse_state_document(document)
     _apply_popularity(router, state)
@@ -75,8 +75,10 @@
 def _apply_popularity(router: Router, state: StateDocument) -> None:
     columns = state.columns
     entries = [
-        (key, (endpoint_id, heat, state.reads))
-        for key, endpoint_id, heat in zip(columns.keys, columns.endpoint_ids, columns.heats, strict=True)
+        (key, (endpoint_id, reads, state.reads))
+        for key, endpoint_id, reads in zip(
+            columns.keys, columns.endpoint_ids, columns.decayed_reads, strict=True
+        )
     ]
     popularity = router.popularity
     popularity.top_limit = min(FILTER_CAPACITY, max(MIN_TOP_SIZE, state.top_limit))
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -120,7 +120,7 @@
         recorder = make_recorder()
         for n in range(1, 2000):
             recorder.on_event(1.0, api.EndpointUpdate(UpdateScope.FULL, (Endpoint(n),), n), [])
-        self.assertEqual((len(recorder.members), len(recorder.departed)), (1, 256))
+        self.assertEqual((len(recorder.members), len(recorder.removed_uids)), (1, 256))
 
 
 class RecordFormatTest(unittest.TestCase):
@@ -269,10 +269,10 @@
         report = self.replay()
         self.assertEqual((report.compared_count, report.differing, report.section_count), (12, [], 1))
         self.assertEqual(
-            (report.begun_before_count, report.open_count, report.lost_count, report.truncated_count),
+            (report.started_before_count, report.open_count, report.lost_count, report.truncated_count),
             (0, 0, 0, 0),
         )
-        self.assertEqual(report.headless_count, 0)
+        self.assertEqual(report.missing_start_count, 0)
 
     def test_a_changed_setting_shows_the_differing_decisions(self) -> None:
         """With one attempt allowed, what was retried fails at once; nothing else is decided otherwise."""
@@ -359,7 +359,7 @@
         data = self.capture_bytes()
         self.assertNotIn(b"H 1 0 ", data)
         report = self.replay(data)
-        self.assertEqual((report.section_count, report.headless_count), (1, 1))
+        self.assertEqual((report.section_count, report.missing_start_count), (1, 1))
         self.assertLess(report.compared_count, 150)
         self.assertGreater(report.compared_count, 20)
 
