--- a/rosepick/capture/replay.py
+++ b/rosepick/capture/replay.py
@@ -77,9 +77,7 @@
     """Holds the recorded attempts and timers of a section."""
 
     def __init__(self, section: CaptureSection) -> None:
-        self.outcomes: dict[
-            tuple[int, int], AttemptOutcomeRecord
-        ] = {}  # by request and number of the attempt
+        self.outcomes: dict[tuple[int, int], AttemptOutcomeRecord] = {}  # by request and attempt number
         self.pending_timers: Counter[int] = Counter()  # recorded firings that are not replayed yet, by token
         self.sent_counts: Counter[int] = Counter()  # by request
         for _, record in section.records:
@@ -279,9 +277,7 @@
         request.attempts.append(attempt)
         recorded = self._recorded.outcomes.get((action.ref, number))
         if recorded is None:
-            if (
-                number >= self._recorded.sent_counts[action.ref]
-            ):  # otherwise the capture ends before the outcome
+            if number >= self._recorded.sent_counts[action.ref]:  # else the capture ends before the outcome
                 self._schedule_timeout(request, attempt)
         elif (action.ref, number) in self._ended_attempts:
             self._schedule_recorded_outcome(request, attempt, recorded)
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -1,4 +1,7 @@
-"""Bodies over 64 KiB, both ways: passed on as they come, in bounded memory, and never spliced."""
+"""Streaming of request and response bodies over 64 KiB.
+
+Guards against bodies that fill the memory, that lose or reorder data, or that mix the data of two attempts.
+"""
 
 from __future__ import annotations
 
@@ -27,10 +30,10 @@
 CHUNKED = b"Transfer-Encoding: Chunked\r\n\r\n"
 NAMES = NameIndexes({"set": 0}, {"acme": 0}, {}, {})
 MIB = 1 << 20
-COUNTED = b"".join(b"%07d\n" % n for n in range(4 * MIB))  # shows the position of each part
+COUNTED = b"".join(b"%07d\n" % n for n in range(4 * MIB))  # the content shows the position of each part
 
 
-class BodyStreams(unittest.TestCase):
+class BodyStreamTest(unittest.TestCase):
     def test_shares_are_even_and_data_is_read_in_order(self) -> None:
         budget, notified, received = BufferBudget(4 * MAX_STREAM_BUFFER_BYTES), [], b""
         streams = [BodyStream(budget, None) for _ in range(64)]
@@ -48,9 +51,8 @@
             (budget.buffered_bytes, streams[0].writable_bytes()),
             (MIN_STREAM_BUFFER_BYTES, MAX_STREAM_BUFFER_BYTES - MIN_STREAM_BUFFER_BYTES),
         )
-        received += b"".join(
-            streams[0].read(1)
-        )  # a paused writer is notified although its share grew meanwhile
+        # A paused writer is notified even if its share of the buffer grew after the pause.
+        received += b"".join(streams[0].read(1))
         self.assertEqual(notified, [1])
         streams[0].finish()
         while not streams[0].is_drained():
@@ -59,7 +61,7 @@
 
 
 def parse_response(*parts: bytes) -> bytes | None:
-    """Return the body of a streamed response received in these parts; None if it is not one."""
+    """Return the body of a response that is received in `parts`; None if it is malformed or not streamed."""
     reader, received, response = ResponseReader(1000, 100), b"", None
     try:
         for part in parts:
@@ -72,7 +74,7 @@
 
 
 def request(*parts: bytes) -> bytes | int:
-    """The body of a request that is received in these parts, or the status that rejects it."""
+    """Return the body of a request that is received in `parts`, or the status of its rejection."""
     protocol = ServerProtocol(lambda: NAMES, BufferBudget(MAX_STREAM_BUFFER_BYTES))
     body = b""
     message: object = None
@@ -87,8 +89,8 @@
     return message.status if isinstance(message, RequestRejected) else body
 
 
-def forms(body: bytes) -> list[bytes]:
-    """Every form that a body of its own end has, from the head's last lines on."""
+def framed_bodies(body: bytes) -> list[bytes]:
+    """Return the body in each framing that marks its end, with the last lines of the head."""
     half = len(body) // 2
     halves = b'%x;a="b"\r\n%b\r\n0%x\r\n%b\r\n' % (half, body[:half], half, body[half:])
     single = b"".join(b"1\r\n%c\r\n" % byte for byte in body)
@@ -100,20 +102,24 @@
     ]
 
 
-class Forms(unittest.TestCase):
-    def test_every_form_cut_anywhere_is_the_same_body(self) -> None:
+class BodyFramingTest(unittest.TestCase):
+    def test_every_framing_split_anywhere_gives_the_same_body(self) -> None:
         interim = b"HTTP/1.1 103 Early\r\nA: b\r\n\r\n" + OK
-        answers = [*(OK + form for form in forms(SHORT)), interim + forms(SHORT)[0], OK + b"\r\n" + SHORT]
+        answers = [
+            *(OK + form for form in framed_bodies(SHORT)),
+            interim + framed_bodies(SHORT)[0],
+            OK + b"\r\n" + SHORT,
+        ]
         for form in answers:
             self.assertEqual(parse_response(*(form[n : n + 1] for n in range(len(form)))), SHORT, form[:60])
             for cut in range(len(form)):
                 self.assertEqual(parse_response(form[:cut], form[cut:]), SHORT, (form[:60], cut))
-        for form in (PUT + form for form in forms(BODY)):
+        for form in (PUT + form for form in framed_bodies(BODY)):
             head, size = form.index(b"\r\n\r\n") + 4, len(form)
             for cut in (*range(head + 40), *range(head + 65_500, head + 65_560), *range(size - 40, size)):
                 self.assertEqual(request(form[:cut], form[cut:]), BODY, (form[100:160], cut))
 
-    def test_malformed_and_ambiguous_forms_are_refused(self) -> None:
+    def test_malformed_and_ambiguous_framings_are_rejected(self) -> None:
         begun, trailers = CHUNKED + b"12C00\r\n" + BODY + b"\r\n", [b"a: " + b"x" * 1000 + b"\r\n"] * 100
         self.assertIsNone(parse_response(OK + CHUNKED + b"1\r\nx\r\n0\r\n", *trailers))
         for line, status in (
@@ -142,9 +148,11 @@
             self.assertEqual(to_origin_form(target), path)
 
 
-class Bulk(Scenario):
-    """Verbs for bodies in parts. `more N`: so many bytes; `begin N HEADERS`: a write that has come so far;
-    `stops`: reads no more; `flood`: writes all that is taken; `breaks`: its connection is closed.
+class StreamedBodyTest(Scenario):
+    """Adds verbs for bodies that are sent in parts.
+
+    `begin N HEADERS` sends the head and N body bytes of a PUT, and `more N` sends N more bytes. `stops` stops
+    reading, `flood` writes as much as the socket accepts, and `breaks` closes the connection.
     """
 
     nodes = ("s1", "origin")
@@ -158,7 +166,7 @@
 
     def begin(self, who: str, text: str) -> None:
         size, _, headers = text.partition(" ")
-        # the clock is not the system's: nothing may wait for an acknowledgement
+        # The scenario has a clock of its own, so TCP must not delay data until an acknowledgement.
         self.wire(who).sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.raw(who, PUT.decode() + headers + r"\r\n\r\n")
         self.more(who, size)
@@ -172,7 +180,7 @@
         mock.patch.object(self.wire(who), "pull").start()
 
     def faults(self, who: str) -> None:
-        """The decisions raise over each outcome from here on."""
+        """Let the decision module raise an exception for each further outcome of an attempt."""
         mock.patch.object(self.module(), "_handle_outcome", side_effect=KeyError).start()
 
     def step(self) -> None:
@@ -180,7 +188,7 @@
         self.assertLessEqual(self.server.budget.body_buffers.buffered_bytes, 2 * MAX_STREAM_BUFFER_BYTES)
 
     def whole(self, who: str, size: str) -> None:
-        """Expect a response of that size, with the body as written."""
+        """Expect a response with the first `size` bytes of `COUNTED` as its body."""
         for _ in range(2_000):
             self.step()
             if len(self.wire(who).seen) > int(size):
@@ -189,7 +197,7 @@
         self.assertTrue(body == COUNTED[: int(size)])
 
     def full(self, who: str) -> None:
-        """Let no body stream be writable from here on."""
+        """Let no body stream accept further data."""
         mock.patch.object(BodyStream, "writable_bytes", return_value=0).start()
 
     def flood(self, who: str) -> None:
@@ -214,12 +222,12 @@
         self.assertEqual(buffered, (0, 0, 0, 0, 0))
 
     def bounded(self, who: str, limit_mb: str) -> None:
-        """Who floods was held back, and little is held here."""
+        """Check that the router accepted less than `limit_mb` of the flood, and buffers little of it."""
         self.assertLess(self.written, int(limit_mb) * MIB)
         self.assertLessEqual(self.server.budget.buffered_bytes, 300_000)
 
     def broken(self, who: str, text: str) -> None:
-        """Expect a response that was cut off, and no other attempt."""
+        """Expect a truncated response that contains `text`, and no other attempt."""
         mock.patch.stopall()
         wire = self.wire(who)
         self.expect(who, "closed")
@@ -229,7 +237,7 @@
         self.assertEqual(self.server.engine.totals()["failed"], 1)
         self.assertFalse(any(other.seen for name in self.nodes for other in self.wires[name]))
 
-    def test_answers(self) -> None:
+    def test_long_responses_are_streamed_without_a_second_attempt(self) -> None:
         chunked = self.LONG.replace("Content-Length: 500000", "Transfer-Encoding: chunked")
         stopped = "wait 9000; all holds engine.pending_count 1; wait 2000; s1 expect closed; all free"
         head = r"s1 raw HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n; "
@@ -238,22 +246,26 @@
             {
                 "32 MiB": f"{self.ASK}{head.replace('100000', size)}s1 more {size}; c1 whole {size}; "
                 "all free",
-                "the client leaves": self.LONG + "c1 close; s1 expect closed; all free",
-                "the next hop breaks off": self.LONG
+                "the client disconnects": self.LONG + "c1 close; s1 expect closed; all free",
+                "the upstream closes within a response": self.LONG
                 + "s1 breaks; c1 broken Content-Length: 500000; all free",
-                "and a chunked one": chunked.replace("more 100000", r"raw 30d40\r\n; s1 more 100000")
+                "the upstream closes within a chunked response": chunked.replace(
+                    "more 100000", r"raw 30d40\r\n; s1 more 100000"
+                )
                 + "s1 breaks; c1 broken Transfer-Encoding: chunked; all free",
-                "the next hop stops": self.LONG + stopped,
-                "it goes on": f"{response}{self.ASK}s1 send 200 v; c1 expect 200; all holds budget.used 3; "
+                "the upstream stops sending": self.LONG + stopped,
+                "the connections are reused": f"{response}{self.ASK}s1 send 200 v; c1 expect 200; "
+                "all holds budget.used 3; "
                 "all free",
-                "the module faults midway": f"{self.ASK}module faults; {head}s1 more 100000; "
+                "the decision module raises during a response": f"{self.ASK}module faults; "
+                f"{head}s1 more 100000; "
                 "c1 expect 200; c1 expect nothing; all free",
                 "the client does not read": self.LONG.replace("500000", "31457280")
                 + f"s1 flood; all bounded 16; {stopped}",
             }
         )
 
-    def test_requests(self) -> None:
+    def test_long_requests_are_streamed_to_one_upstream(self) -> None:
         stored = "origin expect PUT /api/k1; origin send 200 stored; c1 expect 200 stored; all free"
         more, rejected = "c1 more 10000; wait 200; " * 12, "c1 expect 503 Connection=close"
         fresh = "c1 begin 0 Content-Length: 200000; "
@@ -261,35 +273,41 @@
         expects = "Expect: 100-continue\\r\\nContent-Length: "
         self.each(
             {
-                "its time counts from its last byte": f"{self.WRITE}{more}c1 expect nothing; wait 700; "
+                "the deadline counts from the last byte": f"{self.WRITE}{more}c1 expect nothing; wait 700; "
                 f"{stored}",
-                "it ends at its deadline": f"{fresh}c1 more 200000; wait 900; c1 expect nothing; wait 200; "
+                "the request ends at its deadline": f"{fresh}c1 more 200000; wait 900; c1 expect nothing; "
+                "wait 200; "
                 "c1 expect 504; all free",
-                "it is not sent to another": f"{self.WRITE}origin breaks; c1 more 20000; {rejected}; "
+                "the request is not sent to another upstream": f"{self.WRITE}origin breaks; "
+                f"c1 more 20000; {rejected}; "
                 "origin expect nothing; s1 expect nothing; all free",
-                "nobody can be reached": f"origin refuse; {self.WRITE}{rejected}; all free",
-                "the client leaves": f"{self.WRITE}c1 close; origin expect closed; all free",
-                "and behind bytes that wait here": f"{self.WRITE}all full; c1 more 1000; c1 close; "
+                "no upstream can be reached": f"origin refuse; {self.WRITE}{rejected}; all free",
+                "the client disconnects": f"{self.WRITE}c1 close; origin expect closed; all free",
+                "the client disconnects while bytes are buffered": f"{self.WRITE}all full; c1 more 1000; "
+                "c1 close; "
                 "wait 2900; "
                 "origin expect closed; all free",
-                "the client stops": f"{self.WRITE}wait 3400; c1 expect 408 Connection=close; "
+                "the client stops sending": f"{self.WRITE}wait 3400; c1 expect 408 Connection=close; "
                 "origin expect closed; all free",
-                "slow is not stopped": f"{fresh}{'c1 more 16000; wait 250; ' * 12}c1 more 8000; {stored}",
-                "too slow is": f"{fresh}{'c1 more 2000; wait 250; ' * 15}c1 expect 408; all free",
+                "a slow client is served": f"{fresh}{'c1 more 16000; wait 250; ' * 12}c1 more 8000; {stored}",
+                "a client that is too slow is rejected": f"{fresh}{'c1 more 2000; wait 250; ' * 15}"
+                "c1 expect 408; all free",
                 "an origin that does not read": f"{large}1f00000; origin stops; c1 flood; all bounded 20; "
                 f"wait 8000; all holds engine.pending_count 1; origin breaks; {rejected}; all free",
-                "a long answer before its end": self.WRITE
+                "a long response before the end of the request": self.WRITE
                 + r"origin raw HTTP/1.1 200 OK\r\nContent-Length: 5000"
                 rf"00\r\n\r\n; origin more 100000; {rejected}; origin expect closed; all free",
-                "wrong chunks midway": f"{large.replace('80000', '0')}186a0; c1 more 80000; c1 more 20000; "
+                "malformed chunks within a body": f"{large.replace('80000', '0')}186a0; c1 more 80000; "
+                "c1 more 20000; "
                 r"c1 raw nonsense\r\n; c1 expect 400 Connection=close; origin expect closed; all free",
-                "behind one that is in hand": f"{self.ASK}c1 begin 100000 {expects}100000; "
+                "the body waits behind the current request": f"{self.ASK}c1 begin 100000 {expects}100000; "
                 "c1 expect nothing; "
                 f"origin expect nothing; s1 send 200 v; c1 expect 200 v; {stored}",
-                "it is asked for": f"c1 begin 0 {expects}3; c1 expect 100; c1 more 3; {stored}",
-                "its id is open": "c2 send GET /api/k1 Req-Id=7; s1 expect GET; "
+                "the client expects 100 Continue": f"c1 begin 0 {expects}3; c1 expect 100; c1 more 3; "
+                f"{stored}",
+                "the request id is in use": "c2 send GET /api/k1 Req-Id=7; s1 expect GET; "
                 "c1 begin 99000 Content-Length: 99000; c1 expect 409; s1 send 200 v; c2 expect 200; all free",
-                "it counts once": f"{self.WRITE}{more}{stored}",
+                "a streamed request counts once": f"{self.WRITE}{more}{stored}",
             }
         )
         notified = '"set":{"success":1,"busy":0,"failure":0,"backend_calls":1}'
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -1,4 +1,4 @@
-"""The capture: its ring buffer, its records, the dump, the files, and the replay."""
+"""Captures: the ring buffer, the record format, the dump, the capture files, and the replay."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def read_ring(ring: LineRing) -> bytes:
-    """Return all that a ring holds."""
+    """Return all lines of a ring."""
     parts: list[bytes] = []
     position = ring.start_position()
     end = ring.end_position()
@@ -86,7 +86,7 @@
             self.assertEqual(header.members, tuple((m, f"s-{m.endpoint_id}") for m in members))
             self.assertGreater(len(rest), 50)
 
-    def test_its_memory_stays_under_1_mb(self) -> None:
+    def test_memory_of_a_capture_stays_under_1_mb(self) -> None:
         for segments, segment_kib in ((4, 192), (1, 768), (48, 16), (192, 4)):
             tracemalloc.start()
             recorder = make_recorder(segments, segment_kib)
@@ -99,7 +99,7 @@
             self.assertEqual(len(recorder.ring.segments), segments)
             self.assertLess(used, 1_000_000)
 
-    def test_a_list_too_long_for_a_segment_is_counted_and_the_header_is_cut(self) -> None:
+    def test_a_list_too_long_for_a_segment_is_counted_and_the_header_is_truncated(self) -> None:
         recorder = make_recorder(2, 16)
         members = tuple(Endpoint(n, Status.READY, 0.5, 0, 0, 0, 1.0) for n in range(1, 900))
         recorder.on_event(1.0, api.EndpointUpdate(UpdateScope.FULL, members, 1), [])
@@ -108,7 +108,7 @@
         self.assertEqual(len(recorder.ring.segments), 2)
         self.assertLess(max(map(len, read_ring(recorder.ring).split(b"\n"))), select.PIPE_BUF)
 
-    def test_reading_continues_at_the_oldest_line_left(self) -> None:
+    def test_reading_at_an_evicted_position_continues_at_the_oldest_line(self) -> None:
         ring = LineRing(2, 64, lambda ring, most: b"H\n")
         for n in range(40):
             ring.append(b"record %02d\n" % n)
@@ -124,7 +124,7 @@
 
 
 class RecordFormatTest(unittest.TestCase):
-    def test_the_final_answer_has_the_agreed_form(self) -> None:
+    def test_the_final_answer_has_the_documented_form(self) -> None:
         final = record_format.FinalAnswerRecord(
             1718000000123, "9b1f03aa5c7e2d41", "read-usage", "kita-denryoku", "m-004211", "s-5be2a07c", 200
         )
@@ -189,7 +189,7 @@
 
 
 class CaptureScenario(Scenario):
-    """A router with a capture."""
+    """Runs a router that records a capture."""
 
     nodes = ("s1", "s2", "origin")
     conf = ""
@@ -208,7 +208,7 @@
         return replay([source], router_config.settings, router_config.names)
 
     def node_with_request(self) -> str:
-        """Return the cache node that has received something."""
+        """Return the one cache node that has received a request."""
         self.step()
         (node,) = (name for name in ("s1", "s2") if any(w.seen for w in self.wires[name]))
         return node
@@ -221,7 +221,7 @@
                 wire.seen = b""
 
     def play_traffic(self) -> None:
-        """Play hits, a miss, a retry, a refusal, a write, a client that leaves and a changed list."""
+        """Play hits, a miss, a write, a retry, a client that disconnects, a refusal and a changed list."""
         self.play("wait 700\nd expect GET /v1/endpoints\nd tell 42 s1=active")
         for n in range(6):
             self.hit(f"k{n}")
@@ -275,7 +275,7 @@
         self.assertEqual(report.missing_start_count, 0)
 
     def test_a_changed_setting_shows_the_differing_decisions(self) -> None:
-        """With one attempt allowed, what was retried fails at once; nothing else is decided otherwise."""
+        """With one attempt allowed, only the requests that were retried are decided differently."""
         self.play_traffic()
         report = self.replay(settings={**SETTINGS, "limits": {**SETTINGS["limits"], "max_attempts": 1}})
         ids = [request.arrival.req_id for request in report.differing]
@@ -294,7 +294,9 @@
     def test_a_truncated_capture_is_replayed_up_to_its_end(self) -> None:
         self.play_traffic()
         data = self.capture_bytes()
-        for share in (0.02 * n for n in range(10, 50)):  # also between an event and what was decided on it
+        for share in (
+            0.02 * n for n in range(10, 50)
+        ):  # also between an event and the records of its decisions
             truncated = data[: data.index(b"\n", int(share * len(data))) - 1]
             report = self.replay(truncated)
             self.assertEqual((report.differing, report.truncated_count), ([], 1), share)
@@ -340,7 +342,7 @@
         (record,) = [record for record in logs.records if record.getMessage() == "capture_dumped"]
         self.assertEqual(vars(record)["fields"]["signals_ignored"], 1)
 
-    def test_an_exception_of_the_observer_keeps_no_request_from_its_answer(self) -> None:
+    def test_an_exception_of_the_observer_does_not_prevent_responses(self) -> None:
         assert self.server.capture is not None
         with (
             mock.patch.object(self.server.capture.recorder, "on_event", side_effect=KeyError("x")),
@@ -352,7 +354,7 @@
 class SmallRingTest(CaptureScenario):
     conf = "capture_segments 2\ncapture_segment_kb 16"
 
-    def test_requests_from_before_the_oldest_segment_are_counted_not_compared(self) -> None:
+    def test_requests_from_before_the_oldest_segment_are_not_compared(self) -> None:
         for n in range(150):
             self.hit(f"k{n}")
             self.play("wait 10")
@@ -384,7 +386,7 @@
         self.addCleanup(os.close, self.read_fd)
 
     def step(self, count: int) -> None:
-        """Let so many milliseconds pass."""
+        """Run the loop for `count` milliseconds."""
         for _ in range(count):
             self.now += 0.001
             self.loop.step(0)
@@ -403,7 +405,7 @@
         expected = read_ring(self.ring)
         dump = CaptureDump(self.loop, self.ring, self.write_fd)
         with mock.patch("os.write", side_effect=os.write) as written:
-            self.step(2000)  # the pipe holds 64 KiB; a write that blocked would hang here
+            self.step(2000)  # the pipe has a capacity of 64 KiB; a blocking write would hang here
             self.assertTrue(all(len(call.args[1]) <= select.PIPE_BUF for call in written.call_args_list))
             self.assertTrue(all(bytes(call.args[1]).endswith(b"\n") for call in written.call_args_list))
         self.assertEqual(os.get_blocking(self.write_fd), flags)
@@ -415,15 +417,15 @@
         self.assertEqual(found, expected)
         self.assertFalse(dump.is_running)
 
-    def test_log_lines_can_be_written_beside_a_dump_that_nobody_reads(self) -> None:
+    def test_log_lines_can_be_written_while_the_reader_of_a_dump_is_blocked(self) -> None:
         CaptureDump(self.loop, self.ring, self.write_fd)
         self.step(2000)
-        os.set_blocking(self.write_fd, False)  # so that the test fails, where the router would hang
+        os.set_blocking(self.write_fd, False)  # lets the test fail in cases in which the router would hang
         for _ in range(100):
             self.assertEqual(os.write(self.write_fd, b"x" * 200), 200)
         os.close(self.write_fd)
 
-    def test_lines_evicted_meanwhile_are_skipped(self) -> None:
+    def test_lines_evicted_during_a_dump_are_skipped(self) -> None:
         dump = CaptureDump(self.loop, self.ring, self.write_fd)
         self.step(1)
         for n in range(4000, 12_000):
@@ -535,7 +537,7 @@
 
 
 class ProcessTest(unittest.TestCase):
-    """The program as a process, on loopback."""
+    """Runs the program as a process, on the loopback interface."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -576,7 +578,7 @@
                 return line
         self.fail(f"ended without {text}: {lines}")
 
-    def test_capture_change_one_setting_replay(self) -> None:
+    def test_a_replay_with_a_changed_setting_reports_differences(self) -> None:
         router = self.start_program("serve", "--capture")
         lines: list[str] = []
         with contextlib.ExitStack() as stack:
@@ -618,7 +620,7 @@
         out, _ = process.communicate(timeout=30)
         return process.returncode, len(out.splitlines())
 
-    def test_without_the_option_nothing_of_it_is_imported(self) -> None:
+    def test_without_the_option_the_capture_is_not_imported(self) -> None:
         code = (
             "import sys, rosepick.__main__, rosepick.net.server; "
             "print([m for m in sys.modules if 'capture' in m or m == 'ssl'])"
--- a/tests/test_multiget.py
+++ b/tests/test_multiget.py
@@ -1,4 +1,4 @@
-"""Batches of reads: their form, items, order, limits and ends."""
+"""Batches of reads: parsing, order and identity of the items, limits, memory, and the end of a batch."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def unchunked(data: bytes) -> bytes | None:
-    """Return the body of a chunked response, once it is complete."""
+    """Return the body of a chunked response, or None while it is incomplete."""
     head, _, rest = data.partition(b"\r\n\r\n")
     if b"Transfer-Encoding: chunked" not in head:
         raise AssertionError(data[:500])
@@ -56,17 +56,17 @@
     return None
 
 
-class Reading(unittest.TestCase):
+class BatchParsingTest(unittest.TestCase):
     def read(self, body: bytes, head: bytes = HEAD, first: bytes = b"POST /mget HTTP/1.1") -> object:
         protocol = BatchServerProtocol(lambda: NAMES, lambda: 3)
         protocol.feed(b"%b\r\n%bContent-Length: %d\r\n\r\n%b" % (first, head, len(body), body), 500.0)
         return protocol.next_message()
 
-    def test_a_batch(self) -> None:
+    def test_a_batch_is_parsed(self) -> None:
         batch = BatchRequest((b"m-1", b"a%20b", b"c"), b"read", b"acme", 1500.0)
         self.assertEqual(self.read(b"m-1\na%20b\r\n\nc"), batch)
 
-    def test_what_is_none(self) -> None:
+    def test_malformed_bodies_are_rejected_with_the_line(self) -> None:
         for body, reason in (
             (b"", "no keys"),
             (b"\n\r\n", "no keys"),
@@ -80,7 +80,7 @@
         ):
             self.assertEqual(self.read(body), RequestRejected(400, reason), body)
 
-    def test_headers_and_paths(self) -> None:
+    def test_invalid_headers_and_paths_are_rejected(self) -> None:
         for head, status in (
             (HEAD.replace(b"Req-Kind: read\r\n", b""), 400),
             (HEAD.replace(b"read", b"other"), 400),
@@ -97,12 +97,12 @@
             assert isinstance(read, RequestRejected)
             self.assertEqual(read.status, status)
 
-    def test_a_body_that_is_too_long(self) -> None:
+    def test_a_body_that_is_too_long_is_rejected(self) -> None:
         read = self.read(b"k" * 70_000)
         assert isinstance(read, RequestRejected)
         self.assertEqual(read.status, 413)
 
-    def test_responses_parse_back(self) -> None:
+    def test_entries_round_trip_and_truncated_responses_are_incomplete(self) -> None:
         entries = [
             (b"a", b"1", 200, b"x\ny"),
             (b"partial:", b"2", 504, b""),
@@ -113,11 +113,11 @@
         self.assertEqual(list(parse_entries(data)), entries)
         for cut in range(len(data)):
             with self.subTest(cut), contextlib.suppress(BatchResponseError):
-                self.assertLess(len(list(parse_entries(data[:cut]))), 2)  # complete, but not of all keys
+                self.assertLess(len(list(parse_entries(data[:cut]))), 2)  # some complete entries, but not all
 
 
 class Batches(Scenario):
-    """A router with a batch listener, for b...; upstreams respond by themselves in `serve`."""
+    """Runs a router with a batch listener for the clients b...; `serve` sends the responses of upstreams."""
 
     nodes = ("s1", "s2", "origin")
     conf = ""
@@ -149,7 +149,7 @@
         return super().wire(who)
 
     def batch(self, who: str, keys: list[str], wait: str = "3.000") -> None:
-        """Send a batch."""
+        """Send a batch; `wait` is the Req-Deadline in seconds."""
         body = "\n".join(keys)
         self.put(
             who,
@@ -160,7 +160,7 @@
         )
 
     def serve(self) -> None:
-        """Let each upstream answer its requests."""
+        """Answer the requests that each upstream received."""
         self.step()
         for name in self.nodes:
             for wire in self.wires[name]:
@@ -177,7 +177,7 @@
                             self.loop.step(0)
 
     def read_entries(self, who: str, serving: bool = True) -> list[tuple[str, str, int, int]]:
-        """Return the entries of the response to a batch: key, id, status, length."""
+        """Return the key, id, status and body length of each entry of the response to a batch."""
         for _ in range(3000):
             if serving:
                 self.serve()
@@ -188,7 +188,7 @@
                 wire.seen = bytearray()
                 self.body = body
                 return [(k.decode(), i.decode(), s, len(b)) for k, i, s, b in parse_entries(body)]
-        self.fail(f"no whole answer, but {self.wires[who][-1].seen[:500]!r}")
+        self.fail(f"no complete response, but {self.wires[who][-1].seen[:500]!r}")
 
     def nothing_left(self) -> None:
         self.assertEqual(
@@ -197,8 +197,8 @@
         self.assertEqual(self.server.listener.open_request_ids, set())
 
 
-class Serves(Batches):
-    def test_items_in_the_order_of_the_batch_each_by_a_get_of_its_own(self) -> None:
+class BatchServingTest(Batches):
+    def test_items_are_served_in_order_each_by_a_get_with_its_own_id(self) -> None:
         keys = [f"m-{n:06d}" for n in range(40)]
         self.batch("b1", keys)
         entries = self.read_entries("b1")
@@ -210,7 +210,7 @@
         self.assertEqual(self.server.engine.counts["requests"], 40)
         self.nothing_left()
 
-    def test_one_stopped_node_and_nobody_answers_400(self) -> None:
+    def test_a_stopped_node_causes_no_repeated_request_id(self) -> None:
         self.batch("b1", ["first"])
         self.read_entries("b1")
         ((stopped, _, first),) = self.requests
@@ -238,7 +238,7 @@
         self.assertLessEqual(max_connections, 1 + 8)
         self.assertEqual(len(self.server.listener.connections), 1)
 
-    def test_batches_on_one_connection_are_answered_in_turn(self) -> None:
+    def test_batches_on_one_connection_are_answered_in_order(self) -> None:
         self.batch("b1", ["a", "b"])
         self.batch("b1", ["c"])
         for _ in range(50):
@@ -248,12 +248,14 @@
         self.assertTrue((unchunked(second) or b"").startswith(b"c "))
 
     def test_a_response_that_announces_a_close_is_the_last(self) -> None:
-        """Under pressure a response ends its connection, unless another batch was pipelined."""
+        """A response under pressure closes its connection unless another batch is pipelined."""
         with mock.patch.object(self.server.listener.policy, "should_close_after_response", return_value=True):
             with mock.patch.object(self, "put") as put:
                 self.batch("b1", ["k1"])
                 self.batch("b1", ["k2"])
-            self.put("b1", b"".join(call.args[1] for call in put.call_args_list))  # in one piece
+            self.put(
+                "b1", b"".join(call.args[1] for call in put.call_args_list)
+            )  # both batches arrive together
             seen = b""
             for _ in range(200):
                 self.serve()
@@ -264,15 +266,14 @@
         self.assertEqual([b"Connection: close" in response for response in (first, second)], [False, True])
         self.assertEqual([key for _, key, _ in self.requests], ["k1", "k2"])
 
-    def test_items_are_no_clients_of_an_address(self) -> None:
+    def test_items_do_not_count_for_address_quotas(self) -> None:
         """Guards against address quotas that reject the router's own items."""
         with mock.patch.object(self.server.listener.policy, "should_reject_address", side_effect=bool):
             with mock.patch.object(self.server.budget, "downstream_limit", return_value=1):
                 self.batch("b1", ["k1", "k2", "k3"])
                 self.assertEqual([status for _, _, status, _ in self.read_entries("b1")], [200] * 3)
-            self.assertEqual(
-                len(self.server.listener.connection_table.address_quota), 1
-            )  # the batch's client
+            # only the client of the batch counts
+            self.assertEqual(len(self.server.listener.connection_table.address_quota), 1)
         self.play("b1 close")
         self.assertEqual(self.server.listener.own_addresses, set())
 
@@ -295,7 +296,7 @@
         self.play("b1 send GET /mget\nb1 expect 405\nb1 send GET /api/k1\nb1 expect 404")
         self.assertEqual(self.server.engine.counts["requests"], 0)
 
-    def test_another_limit_of_keys_applies_after_sighup(self) -> None:
+    def test_a_changed_limit_of_keys_applies_after_sighup(self) -> None:
         changed = operator_file.read(b"multiget_listen 0\nmultiget_max_keys 1", "rosepick.conf")
         self.server.operator_settings.reload = lambda: changed
         with self.assertLogs("rosepick", "INFO") as logs:
@@ -313,10 +314,10 @@
         self.play("c1 expect 200")
 
 
-class Bounds(Batches):
+class BatchLimitsTest(Batches):
     sockets = 256
 
-    def test_items_in_flight_are_few_and_batches_share_them(self) -> None:
+    def test_items_in_flight_are_limited_and_shared_by_batches(self) -> None:
         self.scheduler.expected_response_bytes = 100.0
         for n in range(3):
             self.batch(f"b{n}", [f"k{n}{m}" for m in range(64)])
@@ -340,7 +341,7 @@
         self.play("b99 expect 503 Retry-After")
         self.read_entries("b5")
 
-    def test_all_descriptors_in_use_is_502(self) -> None:
+    def test_an_item_without_a_descriptor_gets_502(self) -> None:
         with mock.patch.object(self.server.budget, "ensure_available", return_value=False):
             self.wire("b1").sock.send(b"")
             accepting = mock.patch.object(self.server.listener, "_can_accept", return_value=True)
@@ -349,7 +350,7 @@
                 self.assertEqual([row[2] for row in self.read_entries("b1")], [502])
 
 
-class Memory(Batches):
+class BatchMemoryTest(Batches):
     def document(self) -> dict[str, object]:
         return {**super().document(), "limits": {"memory_mb": 32, "sockets": 1024}}
 
@@ -370,7 +371,7 @@
         self.assertLess(self.peak_buffered_bytes, self.server.budget.max_buffered_bytes)
         self.nothing_left()
 
-    def test_also_if_the_client_does_not_read(self) -> None:
+    def test_responses_fit_the_memory_if_the_client_does_not_read(self) -> None:
         self.batch("b1", self.keys)
         with mock.patch.object(self.wire("b1"), "pull"):
             for _ in range(300):
@@ -380,12 +381,12 @@
             self.assertGreater(self.server.budget.buffered_bytes, 0)
             self.sizes = {}
             self.batch("b2", ["x1", "x2"])
-            self.play("wait 2500")  # then the one that does not read gives way
+            self.play("wait 2500")  # the client that does not read is closed
             self.assertEqual([row[2] for row in self.read_entries("b2")], [200, 200])
         self.assertEqual(self.server.budget.buffered_bytes, 0)
         self.nothing_left()
 
-    def test_a_client_that_reads_too_slowly_for_too_long_loses_its_connection(self) -> None:
+    def test_a_client_that_reads_too_slowly_is_closed(self) -> None:
         self.batch("b1", self.keys)
         (batch,) = self.scheduler.batches
         assert isinstance(batch, BatchDownstreamConnection)
@@ -405,8 +406,8 @@
         self.nothing_left()
 
 
-class Ends(Batches):
-    def test_items_past_the_deadline_are_504_and_the_response_is_complete(self) -> None:
+class BatchEndTest(Batches):
+    def test_items_past_the_deadline_get_504_and_the_response_is_complete(self) -> None:
         self.batch("b1", ["k1", "k2", "k3"], "0.300")
         self.play("wait 400")
         entries = self.read_entries("b1", serving=False)
@@ -414,25 +415,25 @@
         self.assertTrue(self.body.endswith(b"partial: 3 of 3 not served\n"))
         self.nothing_left()
 
-    def test_a_router_that_does_not_answer_in_time_is_504_here(self) -> None:
+    def test_an_item_without_a_response_at_the_deadline_gets_504(self) -> None:
         with mock.patch.object(self.server.engine, "accept"):
             self.batch("b1", ["k1"], "0.300")
             self.play("wait 400")
         self.assertEqual([row[2:] for row in self.read_entries("b1", serving=False)], [(504, 0)])
         self.nothing_left()
 
-    def test_a_deadline_that_is_over_already_sends_nothing(self) -> None:
+    def test_a_batch_past_its_deadline_sends_no_requests(self) -> None:
         self.batch("b1", [f"k{n}" for n in range(64)], "0")
         self.assertEqual({row[2] for row in self.read_entries("b1")}, {504})
         self.assertEqual(self.server.engine.counts["requests"], 0)
 
-    def test_each_item_states_the_time_left(self) -> None:
+    def test_each_item_states_the_time_to_the_deadline(self) -> None:
         self.batch("b1", ["k1"], "0.800")
         self.step()
         seen = b"".join(wire.seen for name in self.nodes for wire in self.wires[name])
         self.assertIn(b"Req-Deadline: 0.800", seen)
 
-    def test_a_client_that_goes_away_cancels_the_rest(self) -> None:
+    def test_a_client_that_disconnects_cancels_its_items(self) -> None:
         self.batch("b1", [f"k{n}" for n in range(64)])
         self.step()
         accepted = self.server.engine.counts["requests"]
@@ -442,13 +443,13 @@
         self.assertEqual(self.server.engine.counts["requests"], accepted)
         self.nothing_left()
 
-    def test_the_routers_own_status_is_forwarded(self) -> None:
+    def test_the_status_of_a_refused_item_is_forwarded(self) -> None:
         self.play("s1 refuse\ns2 refuse\norigin refuse")
         self.batch("b1", ["k1"])
         self.assertEqual([row[2] for row in self.read_entries("b1")], [503])
         self.assertIn(b"refused\n", self.body)
 
-    def test_an_item_is_repeated_once_if_its_idle_connection_closes_unread(self) -> None:
+    def test_an_item_is_resent_once_if_its_reused_connection_closes_unread(self) -> None:
         self.batch("b1", ["k1"])
         for _ in range(3):
             self.step()
@@ -461,14 +462,14 @@
         assert isinstance(batch, BatchDownstreamConnection)
         item = batch.unwritten_items[0]
         assert item.connection is not None
-        item.connection.used = True  # as if it had carried an item before
+        item.connection.used = True  # simulates a connection that carried an item before
         idle_connection.close()
         self.serve()
         entries = self.read_entries("b1")
         self.assertEqual([row[2] for row in entries], [200])
         self.assertTrue(item.was_resent)
 
-    def test_a_new_connection_that_breaks_is_502(self) -> None:
+    def test_an_item_on_a_new_connection_that_breaks_gets_502(self) -> None:
         self.batch("b1", ["k1"])
         for _ in range(3):
             self.step()
@@ -495,7 +496,7 @@
         self.assertIn(504, {row[2] for row in self.read_entries("b1", serving=False)})
         self.play("wait 1100\nrouter ended")
 
-    def test_a_fault_ends_the_batch_so_that_its_client_notices(self) -> None:
+    def test_an_exception_ends_the_batch_visibly_for_its_client(self) -> None:
         self.batch("b1", ["k1", "k2"])
         with (
             mock.patch.object(BatchDownstreamConnection, "_write_item", side_effect=KeyError("x")),
@@ -508,8 +509,8 @@
         self.nothing_left()
 
 
-class Settings(unittest.TestCase):
-    def test_ports_that_collide(self) -> None:
+class BatchSettingsTest(unittest.TestCase):
+    def test_equal_ports_of_both_listeners_are_an_error(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             conf, config_file = Path(name) / "rosepick.conf", Path(name) / "config.json"
             conf.write_text("multiget_listen 5000\nmultiget_max_keys 0\n")
@@ -525,7 +526,7 @@
 
 
 class Node(socketserver.ThreadingTCPServer):
-    """A cache node on loopback: it answers each GET, and 400 to an id that it was sent before."""
+    """Runs a cache node on the loopback interface that answers a repeated request id with 400."""
 
     allow_reuse_address = daemon_threads = True
 
@@ -549,8 +550,8 @@
             self.wfile.write(b"HTTP/1.1 %d X\r\nContent-Length: 5\r\n\r\nvalue" % (200 if good else 400))
 
 
-class CommandLine(unittest.TestCase):
-    """The program and `rosepick mget`, over real sockets."""
+class BatchCommandTest(unittest.TestCase):
+    """Runs the router and `rosepick mget` as processes."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -562,7 +563,7 @@
         self.addCleanup(self.node.shutdown)
 
     def start(self, *stopped: str) -> int:
-        """Start a router with one live cache node and some stopped; return the port of its batch listener."""
+        """Start a router with one running cache node and `stopped` ones; return the port for batches."""
         ports = []
         for _ in stopped:
             with socket.create_server(("127.0.0.1", 0)) as unused:
@@ -618,7 +619,7 @@
             env=self.environment(),
         )
 
-    def test_a_batch_by_arguments_and_by_standard_input(self) -> None:
+    def test_mget_reads_keys_from_arguments_and_from_standard_input(self) -> None:
         address = f"127.0.0.1:{self.start()}"
         for words, given in ((("m-1", "m-2"), ""), ((), "m-1\nm-2\n")):
             ended = self.mget("--to", address, *words, given=given)
@@ -632,7 +633,7 @@
         ended = self.mget("--to", "127.0.0.1:1", "m-1")
         self.assertEqual((ended.returncode, ended.stdout), (2, ""))
 
-    def test_two_nodes_of_which_one_is_stopped(self) -> None:
+    def test_mget_with_stopped_nodes_reports_each_item(self) -> None:
         address = f"127.0.0.1:{self.start('s2', 'origin')}"
         keys = [f"m-{n:04d}" for n in range(40)]
         ended = self.mget("--to", address, "--deadline", "2", *keys)
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operators' file: its form, its errors, and how `serve` and SIGHUP apply it."""
+"""The operators' file: its syntax, its errors, and its use by `serve` and at a reload."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     return operator_file.read(text.encode(), "farm.conf", table)
 
 
-class FormTest(unittest.TestCase):
-    def test_values_comments_and_blanks(self) -> None:
+class SyntaxTest(unittest.TestCase):
+    def test_comments_and_spaces_do_not_change_values(self) -> None:
         found = read("# a farm\n\n  pigs\t 7   # seven\nsty /srv/a b#c\r\nrest 2.5 s\n")
         self.assertEqual(found.faults, ())
         self.assertEqual(dict(found.values), {"pigs": 7, "rest": 2.5, "mood": "calm", "sty": "/srv/a b#c"})
@@ -51,13 +51,13 @@
                 ],
             )
 
-    def test_values_in_force_have_their_lines(self) -> None:
+    def test_effective_values_name_their_lines(self) -> None:
         self.assertIn("rest 5 s (farm.conf line 2)", list(read("\nrest 5s").effective_lines()))
 
     def read_errors(self, text: str) -> list[str]:
         return [str(fault) for fault in read(text).faults]
 
-    def test_each_error_has_its_line(self) -> None:
+    def test_all_errors_are_reported_with_their_lines(self) -> None:
         self.assertEqual(
             self.read_errors("pigs 1\npigs 3\npigs 4\nrest soon\nmood grim\npigz 3\nsty\nqqq 1"),
             [
@@ -71,16 +71,16 @@
             ],
         )
 
-    def test_odd_numbers_are_errors(self) -> None:
+    def test_numbers_in_other_notations_are_errors(self) -> None:
         for value in ("-3", "+3", "3.0", "1_0", "٣", "9" * 400, "0x10", "3 4"):
             self.assertEqual(len(self.read_errors(f"pigs {value}")), 1, value)
 
-    def test_a_line_that_is_not_utf_8_leaves_the_others(self) -> None:
+    def test_a_line_that_is_not_utf_8_does_not_affect_other_lines(self) -> None:
         found = operator_file.read(b"sty \xff\xfe\npigs 5\n", "farm.conf", TABLE)
         self.assertEqual([str(fault) for fault in found.faults], ["farm.conf line 1: not UTF-8"])
         self.assertEqual(found.values["pigs"], 5)
 
-    def test_a_file_that_cannot_be_read_is_one_error(self) -> None:
+    def test_an_unreadable_file_is_one_error(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             for path in (Path(folder) / "none.conf", Path(folder)):
                 found = operator_file.read_file(path, TABLE)
@@ -92,7 +92,7 @@
 
 
 class CommandLineTest(unittest.TestCase):
-    def test_serve_does_not_start_with_an_error(self) -> None:
+    def test_serve_does_not_start_with_an_invalid_file(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "rosepick.conf"
             path.write_text("colour red\nshape\n")
@@ -112,7 +112,7 @@
 class ReloadTest(Scenario):
     discoveries = ("d", "e")
 
-    def test_an_error_in_one_file_does_not_keep_the_other_from_being_applied(self) -> None:
+    def test_an_error_in_one_file_does_not_prevent_the_reload_of_the_other(self) -> None:
         table = (*operator_file.SETTINGS, *TABLE)
         valid = read("pigs 7\nrest 5", table)
         invalid = read("pigs 7\npigs 9", table)
@@ -137,5 +137,5 @@
         self.assertEqual(self.server.operator_settings.file.values["pigs"], 7)
 
     def set_file(self, file: OperatorFile) -> None:
-        """Have the next reload read this file."""
+        """Let the next reload return this file, or raise its errors."""
         self.server.operator_settings.reload = lambda: operator_file.require_valid(file)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The admin listener: its commands, its counters, and that it replies under any load."""
+"""The admin listener: its commands, the telemetry counters, and replies while client connections are full."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LineProtocolTest(unittest.TestCase):
-    def test_a_command_split_anywhere_gets_one_reply_and_anything_else_an_error(self) -> None:
+    def test_a_command_split_anywhere_gets_one_reply_and_invalid_lines_get_an_error(self) -> None:
         junk = (b"\n", b"nonsense\n", b"\xff\xfe\n", b"readyz", b"", b"READYZ\n", b"\x00readyz\n")
         whole = b"readyz\r\nreadyz\n"
         split_commands = [(whole[:cut], whole[cut:]) for cut in range(len(whole))]
@@ -56,7 +56,7 @@
         document = json.loads(line)
         self.assertEqual({name: document[name] for name in expected}, expected)
 
-    def test_counters_agree_with_what_clients_and_nodes_saw(self) -> None:
+    def test_counters_match_the_responses_and_attempts(self) -> None:
         self.play("c1 send GET /api/k1\ns1 expect GET /api/k1")
         self.check_counters(inflight=1)
         self.steps(
@@ -78,7 +78,7 @@
             self.play("router reload")
         self.check_counters(reconfig_ok=1, reconfig_failed=1)
 
-    def test_silent_admin_clients_are_closed_and_other_clients_take_none_of_its_descriptors(self) -> None:
+    def test_silent_admin_clients_are_closed_and_other_clients_cannot_use_its_descriptors(self) -> None:
         for number in range(40):
             self.connect(b"tele" if number % 2 else b"")
         for _ in range(200):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Parts by themselves: configuration, transport map, log, loop."""
+"""Unit tests of the configuration, the endpoint directory, the log, the event loop and the process."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 }
 
 
-class Configuration(unittest.TestCase):
-    def test_values(self) -> None:
+class ConfigurationTest(unittest.TestCase):
+    def test_values_are_read(self) -> None:
         loaded = config.read(DOCUMENT)
         self.assertEqual((loaded.seed, loaded.max_descriptors, loaded.connect_timeout_ms), (31, 256, 250.0))
         self.assertEqual(loaded.names.classes, {"read": 0, "set": 1})
 
-    def test_an_error_is_one_plain_line(self) -> None:
+    def test_an_error_is_reported_on_one_line(self) -> None:
         broken: tuple[tuple[str, object, str], ...] = (
             ("listen", "nowhere", "host:port"),
             ("seed", "xyz", "hexadecimal"),
@@ -72,20 +72,20 @@
         return done.returncode, done.stderr
 
 
-class EndpointLists(unittest.TestCase):
+class EndpointListTest(unittest.TestCase):
     def apply(
         self, directory: endpoint_directory.EndpointDirectory, is_full: bool, *rows: object
     ) -> endpoint_directory.DirectoryUpdate:
         return directory.apply_update(SettingsReader({"rev": 2, "all": is_full, "targets": list(rows)}, ""))
 
-    def test_members(self) -> None:
+    def test_endpoints_get_address_kind_and_start_time(self) -> None:
         directory = endpoint_directory.EndpointDirectory(config.read(DOCUMENT).names, unix_offset_ms=5000.0)
         change = self.apply(directory, True, target("s1", 1), {**target("origin", 2), "boot_ms": 7000})
         first, second = change.event.endpoints
         self.assertEqual((first.started_at, first.kind, second.started_at, second.kind), (0.0, 0, 2000.0, 1))
         self.assertEqual(directory.endpoints[second.endpoint_id].address, ("127.0.0.1", 2))
 
-    def test_retired_when_it_drains_leaves_restarts_or_moves(self) -> None:
+    def test_an_endpoint_is_retired_when_it_drains_leaves_restarts_or_moves(self) -> None:
         for row in (
             target("s1", 1, "leaving"),
             target("s1", 1, "left"),
@@ -97,14 +97,14 @@
             self.assertEqual(self.apply(directory, False, target("s1", 1)).retired_endpoint_ids, ())
             self.assertEqual(self.apply(directory, False, row).retired_endpoint_ids, (member.endpoint_id,))
 
-    def test_a_malformed_list_leaves_nothing_behind(self) -> None:
+    def test_a_malformed_update_adds_no_endpoint(self) -> None:
         directory = endpoint_directory.EndpointDirectory(config.read(DOCUMENT).names, 0.0)
         self.apply(directory, True, target("s1", 1))
         with self.assertRaises(ValueError):
             self.apply(directory, False, target("s2", 1), target("s3", 1, "unheard of"))
         self.assertEqual(list(directory.ids_by_uid), ["s1"])
 
-    def test_numbers_that_collide(self) -> None:
+    def test_a_colliding_hash_gets_another_id(self) -> None:
         directory = endpoint_directory.EndpointDirectory(config.read(DOCUMENT).names, 0.0)
         taken_id = endpoint_directory.hash_uid("s2")
         with mock.patch.object(endpoint_directory, "hash_uid", return_value=taken_id):
@@ -112,13 +112,13 @@
         (member,) = self.apply(directory, False, target("s2", 1)).event.endpoints
         self.assertNotIn(member.endpoint_id, (0, taken_id))
 
-    def test_number_is_never_the_one_for_none(self) -> None:
-        """The module takes 0 for 'no server'; a crafted hash of 0 must not come through."""
+    def test_an_id_is_never_0(self) -> None:
+        """The decision module uses 0 for 'no endpoint', so a hash of 0 is replaced by 1."""
         with mock.patch.object(endpoint_directory, "blake2b") as hashed:
             hashed.return_value.digest.return_value = bytes(4)
             self.assertEqual((endpoint_directory.hash_uid("a"), endpoint_directory.hash_key(b"a")), (1, 1))
 
-    def test_malformed_list_changes_nothing(self) -> None:
+    def test_a_malformed_list_does_not_change_the_directory(self) -> None:
         directory = endpoint_directory.EndpointDirectory(config.read(DOCUMENT).names, 0.0)
         self.apply(directory, True, target("s1", 1))
         for row in ({}, target("s1", 1, "odd"), {**target("s2", 1), "endpoint": "x"}):
@@ -128,8 +128,8 @@
         self.assertIs(self.apply(directory, False, target("s1", 1)).event.scope, api.UpdateScope.DELTA)
 
 
-class Log(unittest.TestCase):
-    def test_line(self) -> None:
+class LogTest(unittest.TestCase):
+    def test_a_log_line_round_trips(self) -> None:
         record = logging.LogRecord("rosepick.net.upstream_pool", logging.INFO, "", 1, "closed", None, None)
         record.fields = {"ms": 1.25, "text": 'a "b"\n'}
         line = logs.KeyValueFormatter().format(record)
@@ -142,7 +142,7 @@
         read = logs.parse_log_fields(line)
         self.assertEqual((read["part"], read["ms"], read["text"]), ("net.upstream_pool", "1.2", 'a "b"\n'))
 
-    def test_storm(self) -> None:
+    def test_frequent_events_are_suppressed_and_counted(self) -> None:
         now = [0.0]
         stream = io.StringIO()
         handler = logging.StreamHandler(stream)
@@ -159,7 +159,7 @@
         self.assertIn("suppressed=30", lines[-1])
 
 
-class Loops(unittest.TestCase):
+class EventLoopTest(unittest.TestCase):
     def test_timer_does_not_wait_behind_a_batch_of_reads(self) -> None:
         now, output = [1.0], list[str]()
         loop = EventLoop(lambda: now[0])
@@ -179,7 +179,7 @@
             for sock in pair:
                 sock.close()
 
-    def test_order_at_one_time_and_cancelled(self) -> None:
+    def test_timers_due_together_run_in_order_without_cancelled_ones(self) -> None:
         now, output = [1.0], list[str]()
         loop = EventLoop(lambda: now[0])
         loop.call_at(900.0, lambda: output.append("later"))
@@ -189,8 +189,8 @@
         self.assertEqual(output, ["first", "later"])
 
 
-class Process(unittest.TestCase):
-    """The program as it is started."""
+class ProcessTest(unittest.TestCase):
+    """Runs the program as a process."""
 
     def test_release_build_runs_the_scenarios(self) -> None:
         done = self.python("-O", "-m", "unittest", "tests.test_scenarios")
@@ -204,10 +204,10 @@
         self.assertEqual(self.python("-O", "-c", code).stdout, "1\n")
         self.assertIn("AssertionError: x", self.python("-c", code).stderr)
 
-    def test_adapter_needs_only_the_standard_library(self) -> None:
+    def test_the_simulator_host_needs_only_the_standard_library(self) -> None:
         self.assertEqual(self.python("-S", "-m", "rosepick.simulator").returncode, 0)
 
-    def test_serves_and_ends(self) -> None:
+    def test_serve_answers_reloads_and_shuts_down(self) -> None:
         with tempfile.NamedTemporaryFile("w") as file, socket.create_server(("127.0.0.1", 0)):
             json.dump(DOCUMENT, file)
             file.flush()
@@ -224,16 +224,16 @@
                     with socket.create_connection((host, port)) as sock:
                         sock.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
                         self.assertTrue(sock.recv(100).startswith(b"HTTP/1.1 200 "))
-                    # guards against a signal that ends a router as it does any program without a handler
+                    # Guards against a SIGHUP without a handler, which would end the process.
                     process.send_signal(signal.SIGHUP)
                     self.line_with("event=config_reloaded", process.stderr)
-                finally:  # whatever went wrong: the test must not wait for it without end
+                finally:  # otherwise a failed test would wait for the process forever
                     process.terminate()
                 self.assertIn("event=shutdown_completed", process.stderr.read())
             self.assertEqual(process.returncode, 0)
 
     def line_with(self, event: str, log: IO[str]) -> str:
-        """Return the next line with an event; lines of calls to discovery may come before it."""
+        """Return the next line with an event; lines about polls of discovery may precede it."""
         for line in log:
             if event in line:
                 return line
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP: applied whole or rejected whole, while pending requests keep what they had."""
+"""Reload of the configuration: a file is applied or rejected as a whole; pending requests keep settings."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 def replace_value(document: Any, path: str, value: object) -> Any:
-    """Return the document with another value, or none, at a path."""
+    """Return the document with the value at a path replaced or removed."""
     changed = copy.deepcopy(document)
     parent = changed
     *parent_keys, last_key = (int(key) if key.isdigit() else key for key in path.split("."))
@@ -79,11 +79,11 @@
         return config.read(config.parse_json(json.dumps(self.file).encode()))
 
     def reload_classes(self, *rows: dict[str, Any]) -> None:
-        """Reload a file with these request classes."""
+        """Reload the configuration with these request classes."""
         self.file = replace_value(self.file, CLASSES, list(rows))
         self.play("router reload")
 
-    def test_classes_are_added_removed_and_restored_and_pending_requests_keep_theirs(self) -> None:
+    def test_classes_are_added_removed_and_restored_and_pending_requests_keep_their_class(self) -> None:
         read, write = SETTINGS["request_classes"]
         before = self.server.config.names.classes
         self.play("c1 send GET /api/k1\ns1 expect GET /api/k1")
@@ -113,12 +113,11 @@
         self.play("s1 send 404 ''\norigin expect GET /api/k1\norigin send 200 value\nc1 expect 200 value")
         self.play(f"{request}404 ''\nc2 expect 503\n{request}500 ''\nc2 expect 502")
 
-    def test_each_invalid_file_is_rejected_whole_counted_and_named(self) -> None:
+    def test_an_invalid_file_is_rejected_and_counted_and_the_log_names_the_setting(self) -> None:
         valid_file = self.file
         config_before = self.server.config
-        self.assertIsNone(
-            self.server.admin_listener
-        )  # neither the file nor the environment has an address for it
+        # Neither the file nor the environment has an address for the admin listener.
+        self.assertIsNone(self.server.admin_listener)
         for number, (path, value) in enumerate(INVALID_VALUES, 1):
             self.file = replace_value({**valid_file, "discovery": "127.0.0.1:1"}, path, value)
             with self.subTest(path, value=value), self.assertLogs("rosepick", "ERROR") as logs:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A new process beside the running one: a shared listening socket, shares of limits, transfer of state."""
+"""Upgrade of a router: shared listening socket, shares of limits, and transfer of learned state."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def make_router(request_count: int = 0) -> Router:
-    """A decision module with three endpoints that has served some requests."""
+    """Return a decision module with three endpoints that has served `request_count` requests."""
     classes = (api.RequestClass(objective_ms=600, deadline_ms=1200),)
     router = Router(api.RouterSettings(classes=classes), seed=1)
     endpoints = tuple(api.Endpoint(endpoint_id=n) for n in (7, 8, 9))
@@ -55,7 +55,7 @@
                 (descriptors, memory),
             )
         for limit in (64, 256, 1024):
-            for held in range(0, limit, 7):  # together they keep to the limit, whatever each holds
+            for held in range(0, limit, 7):  # the shares of both processes together stay within the limit
                 share = ProcessShare((held,)).descriptor_share(limit)
                 self.assertLessEqual(min(share, limit) + min(held, limit // 2), limit)
 
@@ -86,7 +86,7 @@
 
 
 class ProcessRegistryTest(TestCase):
-    def test_counts_are_those_of_live_processes_whatever_is_left_in_the_directory(self) -> None:
+    def test_only_descriptor_counts_of_live_processes_are_read(self) -> None:
         code = (
             "import sys; from pathlib import Path; "
             "from rosepick.net.process_registry import ProcessRegistry; "
@@ -118,7 +118,7 @@
 
 
 class StateTransferTest(TestCase):
-    def test_router_with_imported_state_decides_as_the_exporter(self) -> None:
+    def test_a_router_with_imported_state_has_the_popularity_and_latencies_of_the_exporter(self) -> None:
         exporter = make_router(199)
         importer = make_router()
         self.assertEqual(import_state(importer, export_state(exporter, 5.0), 9.0), 50)
@@ -134,7 +134,7 @@
         ]
         self.assertEqual(*latencies)
 
-    def test_truncated_or_changed_document_is_rejected_as_a_whole(self) -> None:
+    def test_a_truncated_or_changed_document_is_rejected_as_a_whole(self) -> None:
         document = export_state(make_router(199), 5.0)
         changes = (
             (b'"version": 1', b'"version": 2'),
@@ -157,7 +157,7 @@
 
 
 class HandoverScenario(Scenario):
-    """A process that shares its listening socket with another, which `leaves` a state or `dies`."""
+    """Runs a process that shares its listening socket with another one, which `leaves` a state or `dies`."""
 
     def setUp(self) -> None:
         directory = tempfile.TemporaryDirectory()
@@ -177,7 +177,7 @@
         )
 
     def leaves(self, actor: str, age: str) -> None:
-        """A state document of an age in milliseconds, or "junk"."""
+        """Write a state document with an age in milliseconds, or a malformed one for "junk"."""
         if age == "junk":
             document = b"junk\n" * 9
         else:
@@ -198,18 +198,18 @@
         )
 
     def queues(self, actor: str) -> None:
-        """A client connects and sends a request, and no process accepts it."""
+        """Connect a client and send a request that no process accepts."""
         client = socket.create_connection(self.shared_listener.getsockname())
         self.addCleanup(client.close)
         client.sendall(READY)
 
     def accepts(self, actor: str) -> None:
-        """The other process accepts the queued connection: the socket was not shut down."""
+        """Accept the queued connection in the other process; this fails if the socket was shut down."""
         self.shared_listener.setblocking(False)
         with self.shared_listener.accept()[0] as accepted:
             self.assertEqual(accepted.recv(100), READY)
 
-    def test_the_new_process(self) -> None:
+    def test_the_new_process_serves_after_it_has_a_list_and_a_state(self) -> None:
         list_received = (
             "wait 800; d expect GET /v1/endpoints?after=41&wait_ms=0; c1 send GET /ready; d tell 41; "
         )
@@ -218,19 +218,19 @@
             {
                 "with a list and the other process's state": "door says ERR; other leaves -1; "
                 f"{list_received}{ready}; it knows 50",
-                "soon after a process that leaves no state": f"{list_received}wait 100; "
+                "after a wait if the other process writes no state": f"{list_received}wait 100; "
                 f"c1 expect nothing; wait 200; {ready}",
-                "without a state that is too old": "other leaves 1; "
+                "without the state if it is too old": "other leaves 1; "
                 f"{list_received}wait 300; {ready}; it knows 0",
-                "without a document that is malformed": "other leaves junk; "
+                "without the state if it is malformed": "other leaves junk; "
                 f"{list_received}{ready}; it knows 0",
                 "at once when the other process has ended": f"other dies; c1 send GET /ready; {ready}",
             }
         )
-        # without another process its share is the whole limit
+        # Without another process, the share is the whole limit.
         self.assertEqual(self.server.budget.limit, self.sockets - 48)
 
-    def test_the_old_process(self) -> None:
+    def test_the_old_process_answers_what_it_accepted(self) -> None:
         request = "c1 send GET /api/k1; s1 expect GET /api/k1; "
         half_body = "x" * 100_000
         partial_request = r"c3 raw GET /api/k2 HTTP/1.1\r\nReq-"
@@ -238,7 +238,7 @@
         response_head = r"s1 raw HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
         self.each(
             {
-                "requests are answered, queued connections are left to the new process": "other dies; "
+                "requests are answered and queued connections are not accepted": "other dies; "
                 f"{request}{partial_request}; "
                 "c9 queues; router end; wait 300; s1 send 200 value; "
                 f"c1 expect 200 Connection=close; {rest_of_request}; "
@@ -253,7 +253,7 @@
 
 
 class TwoProcessesTest(TestCase):
-    """Two real processes on one socket, under a client that keeps sending requests."""
+    """Runs two processes on one socket while a client sends requests."""
 
     def setUp(self) -> None:
         directory = tempfile.TemporaryDirectory()
@@ -264,7 +264,7 @@
         threading.Thread(target=self.serve_discovery, daemon=True).start()
 
     def serve_discovery(self) -> None:
-        """Each process gets a list once; its next poll is never answered."""
+        """Answer the first poll of each process with a list, and leave further polls unanswered."""
         connections: list[socket.socket] = []
         body = b'{"rev":1,"all":true,"targets":[]}'
         with contextlib.suppress(OSError):
@@ -306,7 +306,7 @@
         return process
 
     def read_log_until_serving(self, process: subprocess.Popen[str]) -> str:
-        """Return its log up to the line that says that it serves."""
+        """Return the log of a process up to its event `serving`."""
         log = ""
         for line in process.stderr or ():
             log += line
@@ -323,9 +323,8 @@
         port = self.listener.getsockname()[1]
         old = self.start("old")
         self.read_log_until_serving(old)
-        self.assertNotEqual(
-            self.start("broken", discovery="nowhere").wait(20), 0
-        )  # the old one goes on serving
+        # A process that cannot start does not affect the old one.
+        self.assertNotEqual(self.start("broken", discovery="nowhere").wait(20), 0)
         new = self.start("new")
         admin_port = int(
             self.read_log_until_serving(new).partition("event=admin_serving listen=127.0.0.1:")[2].split()[0]
@@ -335,7 +334,7 @@
         old.terminate()
         statuses |= {self.send(port) for _ in range(40)}
         self.assertEqual(old.wait(10), 0)
-        # the old process answers what it had accepted, as one that shuts down; no request is lost
+        # The old process answers the requests that it accepted, with 503 during its shutdown. None is lost.
         self.assertLessEqual(statuses, {b"HTTP/1.1 200", b"HTTP/1.1 503"})
         self.assertEqual({self.send(port) for _ in range(5)}, {b"HTTP/1.1 200"})
         new.terminate()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Codec and host of the simulator: round trips, and a message of one line for malformed input."""
+"""Codec and host of the simulator: replies to batches, and one-line messages for malformed input."""
 
 from __future__ import annotations
 
@@ -71,11 +71,11 @@
     return out
 
 
-def test_empty_batch_is_answered() -> None:
+def test_an_empty_batch_gets_an_empty_reply() -> None:
     assert serve(batch())[1].hex() == "000000080000000000000001"
 
 
-def test_a_request_is_sent() -> None:
+def test_a_request_causes_an_attempt() -> None:
     status, out = serve(batch(provision(), pool(), members(), work()))
     assert status == 0
     assert 16 in replies(out)[0][1]
@@ -107,7 +107,7 @@
     ],
     ids=["truncated", "no length", "short header", "record cut", "no instance", "short list", "count wrong"],
 )
-def test_malformed_frames_end_with_one_line(data: bytes, capfd: pytest.CaptureFixture[str]) -> None:
+def test_malformed_frames_end_the_host_with_one_line(data: bytes, capfd: pytest.CaptureFixture[str]) -> None:
     status, _ = serve(data)
     err = capfd.readouterr().err
     assert status == 1
@@ -126,7 +126,7 @@
         ([work()], "never started"),
     ],
 )
-def test_known_instance_breaks_with_a_plain_message(
+def test_an_error_of_a_known_instance_is_reported_in_a_broken_record(
     records: list[bytes], words: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
     status, out = serve(batch(*records))
@@ -137,7 +137,9 @@
     assert err.count("\n") == 1
 
 
-def test_decision_exception_is_reported_with_place(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_of_the_decision_module_is_reported_with_its_source_line(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     def fail(self: object, event: object) -> None:
         raise KeyError("lost")
 
@@ -147,7 +149,7 @@
     assert b"KeyError" in out and b"lost" in out and b".py:" in out
 
 
-def test_host_runs_as_a_process() -> None:
+def test_the_host_runs_as_a_process() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "rosepick.simulator"],
         input=batch(provision(), pool(), members(), work()),
@@ -160,7 +162,7 @@
     assert replies(done.stdout)
 
 
-def test_every_action_is_encoded_at_its_stated_length() -> None:
+def test_every_encoded_action_has_its_stated_length() -> None:
     actions: list[api.Action] = [
         api.Send(1, 2),
         api.Refuse(1),
@@ -191,6 +193,6 @@
         ({"request_classes": [{"deadline": -1}]}, "request_classes[0].objective"),
     ],
 )
-def test_invalid_setting_is_named(change: dict[str, object], name: str) -> None:
+def test_the_message_names_an_invalid_setting(change: dict[str, object], name: str) -> None:
     with pytest.raises(ValueError, match=name.replace("[", r"\[").replace("]", r"\]")):
         reader.parse_settings(json.dumps(SETTINGS | change).encode())
