--- a/tests/golden_capture_forms.py
+++ b/tests/golden_capture_forms.py
@@ -1,7 +1,7 @@
-"""Representative values of the forms of captures and of what two processes of a router hand over.
+"""Representative captures, state documents and registry files of router processes.
 
-A part of golden_forms, with the same rules: program names are imported here only, values are built by
-position, and enumerations by value.
+The rules of golden_forms apply: only the golden_*_forms modules import names of the program, values are
+built by position, and enumerations by value.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def capture_records() -> list[record_format.Record]:
-    """Return a record of every kind, each in its variants."""
+    """Return records of each type in all variants."""
     outcomes = [api.Result(value) for value in RESULTS]
     return [
         record_format.SegmentHeader(1, 2, 2**63, 1.5e12 + 0.1, THIRD, 4, MEMBERS),
@@ -89,29 +89,29 @@
 
 
 def write_records(records: list[record_format.Record]) -> bytes:
-    """Write records as lines."""
+    """Encode records as lines."""
     return "".join(record.text() for record in records).encode("ascii")
 
 
 def read_records(data: bytes) -> list[record_format.Record]:
-    """Read a capture's records; log lines between them are passed over."""
+    """Parse the records of a capture that begins with a log line."""
     log_line = b"time=2026-01-01T00:00:00.000Z level=info part=net.server event=serving\n"
     return [record for _, record in RecordReader(log_line + data)]
 
 
-def rewritten(data: bytes) -> bytes:
-    """Read a capture's records and write them again."""
+def reencoded(data: bytes) -> bytes:
+    """Parse the records of a capture and encode them again."""
     return write_records(read_records(data))
 
 
 def capture_words() -> object:
-    """Return clients' words as a capture writes them."""
+    """Return words of clients with their encoded forms."""
     words = (b"a b", b"a\nC 1", b"%41", b"-", b"", b"\xff\x00", b"#7", b"x" * 500, b"\xff" * 200, b"m-1:2,3")
     return [[data.hex(), record_format.encode_word(data)] for data in words]
 
 
-def recorded_by_observer() -> bytes:
-    """Return what the recorder writes of one request of every end, in several segments."""
+def recorded_segments() -> bytes:
+    """Record requests with each outcome, and return the segments."""
 
     def words(payload: object) -> tuple[bytes, bytes, bytes]:
         return b"id %d" % (payload if isinstance(payload, int) else 0), b"key", b"0.500"
@@ -133,35 +133,37 @@
             )
         for place, end in enumerate(("served", "refused", "failed", "late", "gone", "broke")):
             ref, now = 10 * number + place, 1000.0 * number + THIRD * place
-            envelope = RequestContext(
+            context = RequestContext(
                 place % 2, now + 500.0, 2**40 + ref, place % 2, ref % 2 > 0, False, None, ref, ref
             )
-            recorder.on_request(now, envelope, [api.Send(ref, 4, now + 250.0)])
+            recorder.on_request(now, context, [api.Send(ref, 4, now + 250.0)])
             if place:
-                envelope.attempts.append(UpstreamAttempt(envelope, 0, 4 + place % 2, now, now + 250.0, now))
+                context.attempts.append(UpstreamAttempt(context, 0, 4 + place % 2, now, now + 250.0, now))
             result = api.Result(RESULTS[place])
             recorder.on_event(
                 now, api.AttemptEnded(ref, 0, 4, result, True, 2, 1.5, (), place == 2), [api.Send(ref, 5)]
             )
             recorder.on_event(now, api.TimerFired(3 << 60), [api.SetTimer(1, 2.0)])
             recorder.on_event(now, api.ClientDisconnected(ref), [])
-            recorder.on_outcome(now, envelope, RequestOutcome(end))
+            recorder.on_outcome(now, context, RequestOutcome(end))
     recorder.flush()
     return b"".join(bytes(segment.data[: segment.length]) for segment in recorder.ring.segments)
 
 
 def replayed(capture: bytes) -> object:
-    """Replay a recorded capture: as it was decided, and with settings that decide otherwise."""
+    """Replay a capture with unchanged settings and with one attempt per request; return both reports."""
     found = {}
     for name, limits in (("unchanged", {}), ("one attempt", {"max_attempts": 1})):
         document = router_document({**SETTINGS, "limits": {**SETTINGS["limits"], **limits}})
-        told = config.read(document)
-        found[name] = list(replay([RecordReader(capture)], told.settings, told.names).lines())
+        router_config = config.read(document)
+        found[name] = list(
+            replay([RecordReader(capture)], router_config.settings, router_config.names).lines()
+        )
     return found
 
 
 def router_document(settings: dict[str, Any]) -> dict[str, Any]:
-    """Return what GW_CONFIG holds for a router."""
+    """Return the configuration document of a router."""
     return {
         "name": "n3",
         "listen": "127.0.0.1:5000",
@@ -177,7 +179,7 @@
 
 
 def router(served: int) -> Router:
-    """Return a module that knows three nodes and has served so many requests."""
+    """Return a decision module with three endpoints that has served `served` requests."""
     made = Router(api.RouterSettings((api.RequestClass(600, 1200),)), 1)
     made.handle(0.0, api.EndpointUpdate(api.UpdateScope("cached"), tuple(api.Endpoint(n) for n in (7, 8, 9))))
     for ref in range(1, served + 1):
@@ -189,19 +191,19 @@
 
 
 def upgrade_document() -> bytes:
-    """Return what a router hands over to the process that takes its place."""
+    """Return the state document of a router that has served requests."""
     return export_state(router(199), 5.0)
 
 
 def taught(document: bytes) -> tuple[int, float, bytes]:
-    """Teach a new router; return the keys' number, the document's time, and what it would hand over."""
-    pupil = router(0)
-    keys = import_state(pupil, document, 9.0)
-    return keys, exported_at(document), export_state(pupil, 5.0)
+    """Import a state document; return its number of keys, its time, and the state that is exported again."""
+    importer = router(0)
+    keys = import_state(importer, document, 9.0)
+    return keys, exported_at(document), export_state(importer, 5.0)
 
 
 def seat_files() -> dict[str, str]:
-    """Return the files by which processes of one router find each other."""
+    """Return the files in which the processes of one router publish their counts and state."""
     with temporary_folder() as folder:
         seats = ProcessRegistry(folder, ("127.0.0.1", 5000))
         seats.publish_descriptor_count(300)
@@ -216,7 +218,7 @@
 
 
 def seats_beside(files: dict[str, str]) -> tuple[tuple[int, ...], bytes | None]:
-    """Take a seat beside a process that holds the recorded files; return what is found of it."""
+    """Return the counts and the state that a process reads from the recorded files of another process."""
     with temporary_folder() as folder:
         held = []
         for name, content in files.items():
@@ -233,37 +235,39 @@
         return found
 
 
-def around_environment() -> object:
-    """Return what a router takes from its environment."""
-    told = config.read(router_document(SETTINGS))
-    told = config.apply_environment(told, {"GW_LISTEN_FD": "7", "GW_OPS": "127.0.0.1:6000"})
-    return [told.listen_fd, told.ops]
+def environment_settings() -> object:
+    """Return the settings that a router reads from its environment."""
+    router_config = config.read(router_document(SETTINGS))
+    router_config = config.apply_environment(router_config, {"GW_LISTEN_FD": "7", "GW_OPS": "127.0.0.1:6000"})
+    return [router_config.listen_fd, router_config.ops]
 
 
-def read_taught(document: bytes) -> object:
-    """Return how many keys a new router learns of a document, and whether it would hand over the same."""
+def read_state_document(document: bytes) -> object:
+    """Return the number of keys and the time of a state document, or the exported state if it differs."""
     keys, when, again = taught(document)
     return (keys, when) if again == document else again
 
 
-def relearned_document() -> bytes:
-    """Return what a router hands over that has learned a document from before the order of slots changed."""
+def document_after_import() -> bytes:
+    """Return the state exported after the import of a document with the former rendezvous order."""
     return taught((GOLDEN / "upgrade-document-old-order.bin").read_bytes())[2]
 
 
 def replayed_recording() -> object:
-    """Replay the recorded capture of a router that met hits, misses, a reset, refusals and a changed list."""
+    """Replay a recorded capture with hits, misses, a reset, refusals and a changed endpoint list."""
     return replayed((GOLDEN / "capture-recorded.txt").read_bytes())
 
 
 CAPTURE_FORMS: dict[str, Form] = {
-    "capture-recorded.txt": Form(lambda: (GOLDEN / "capture-recorded.txt").read_bytes(), rewritten),
+    "capture-recorded.txt": Form(lambda: (GOLDEN / "capture-recorded.txt").read_bytes(), reencoded),
     "capture-replay.json": Form(replayed_recording, as_json),
     "capture-records.txt": Form(capture_records, write_records, read_records),
     "capture-words.json": Form(capture_words, as_json),
-    "capture-recorder.txt": Form(recorded_by_observer, as_given),
-    "upgrade-document.bin": Form(constant((50, 5.0)), lambda _: upgrade_document(), read_taught),
-    "upgrade-document-old-order.bin": Form(constant((50, 5.0)), lambda _: relearned_document(), read_taught),
+    "capture-recorder.txt": Form(recorded_segments, as_given),
+    "upgrade-document.bin": Form(constant((50, 5.0)), lambda _: upgrade_document(), read_state_document),
+    "upgrade-document-old-order.bin": Form(
+        constant((50, 5.0)), lambda _: document_after_import(), read_state_document
+    ),
     "upgrade-seats.json": Form(seat_files, as_json),
-    "upgrade-environment.json": Form(around_environment, as_json),
+    "upgrade-environment.json": Form(environment_settings, as_json),
 }
--- a/tests/golden_forms.py
+++ b/tests/golden_forms.py
@@ -1,12 +1,12 @@
-"""All stored and wire forms with their golden files.
+"""All stored and wire forms, with the names of their golden files.
 
-The files in tests/golden were written by the program at a8254ac. `python -m tests.golden_forms` writes the
-files that are missing and never overwrites one: a file is replaced by hand only, when a form is changed on
-purpose. tests/test_golden.py compares the program with the files.
+The program at a8254ac wrote the files in tests/golden. `python -m tests.golden_forms` writes missing files
+and never overwrites a file. A file is replaced by hand only, after an intended change of its form.
+tests/test_golden.py compares the output of the program with the files.
 
-The modules `golden_*_forms` import every name of the program that the golden tests use. Values are built by
-position and enumerations by value, so a rename touches those modules alone. The files hold what is on a wire
-or on a disk, never the name of a class.
+The modules `golden_*_forms` import all names of the program that the golden tests use. They build values by
+position and enumerations by value, so a rename changes only these modules. The golden files contain wire and
+storage formats, but no names of classes.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def main() -> None:
-    """Write the files that are missing."""
+    """Write the golden files that are missing."""
     GOLDEN.mkdir(exist_ok=True)
     for name, form in FORMS.items():
         path = GOLDEN / name
--- a/tests/golden_http_forms.py
+++ b/tests/golden_http_forms.py
@@ -1,7 +1,7 @@
-"""Representative dialogues at a router's doors: operators, discovery, clients, next hops, batches.
+"""Representative exchanges of a router with operators, discovery, clients, upstreams and batch clients.
 
-A part of golden_forms, with the same rules: program names are imported here only, values are built by
-position, and enumerations by value.
+The rules of golden_forms apply: only the golden_*_forms modules import names of the program, values are
+built by position, and enumerations by value.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 )
 
 
-# ------------------------------------------------------------------------------------ doors
+# ------------------------------------------------------------------------------------ admin listener
 
 
-def door_dialogue() -> object:
-    """Return what is said at the operators' door: call and answer."""
+def admin_dialogue() -> object:
+    """Return the replies of the admin listener to valid and invalid commands."""
     calls = {
         "readyz": lambda: AdminReply(True, "ready"),
         "plain": lambda: AdminReply(True, "{}", ("END",), True),
@@ -59,34 +59,35 @@
 
 
 def discovery_dialogue() -> object:
-    """Return the calls, and what is read from a recorded list."""
+    """Return the encoded polls, and the endpoints that are parsed from a recorded list."""
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LIST) + LIST
     found = discovery.EndpointListReader().feed(answer)
     assert found is not None
-    told, reusable = found
+    document, reusable = found
     known = EndpointDirectory(NAMES, 1000.0)
-    change = known.apply_update(told)
+    change = known.apply_update(document)
     members = [
         [m.endpoint_id, int(m.status), m.started_at, m.zone, m.cell, m.kind, m.weight]
         for m in change.event.endpoints
     ]
-    hops = [
-        [hop.endpoint_id, hop.uid, list(hop.address), int(hop.status)] for hop in known.endpoints.values()
+    endpoint_rows = [
+        [listed.endpoint_id, listed.uid, list(listed.address), int(listed.status)]
+        for listed in known.endpoints.values()
     ]
     calls = [
         discovery.encode_list_request("d:80", None, 0.0).decode(),
         discovery.encode_list_request("d:80", 41, 2500.0).decode(),
     ]
-    return [calls, reusable, change.event.scope.value, change.event.version, members, hops]
+    return [calls, reusable, change.event.scope.value, change.event.version, members, endpoint_rows]
 
 
-def numbers_of_names() -> object:
-    """Return the numbers that all routers give to keys and next hops."""
+def hashes_of_names() -> object:
+    """Return the hashes of keys and of endpoint uids, which are the same in all routers."""
     return [[hash_key(key) for key in (b"", b"k1", b"m-004211")], [hash_uid("s-1"), hash_uid("s-1", 2)]]
 
 
 def client_dialogue() -> object:
-    """Return how requests are read and answered, and how they are passed on to a next hop."""
+    """Return requests as they are parsed, as they are forwarded to an upstream, and with response heads."""
     head = "Req-Id: x9\r\nReq-Kind: %s\r\nReq-Owner: acme\r\nReq-Deadline: 0.480\r\n"
     requests = [
         f"GET /api/m-1?x=1 HTTP/1.1\r\n{head % 'read'}Req-Cost: 12.5\r\nReq-Retry: 1\r\n\r\n",
@@ -100,25 +101,25 @@
         connection.feed(text.encode(), 1000.0)
         received = connection.next_message()
         assert isinstance(received, RequestReceived)
-        envelope = received.request
-        letter = envelope.payload
-        assert isinstance(letter, ForwardedRequest)
-        passed_on = bytes(HttpExchange(letter, "s-1:5001", 240.0).next_unsent()).decode()
+        context = received.request
+        payload_parts = context.payload
+        assert isinstance(payload_parts, ForwardedRequest)
+        forwarded_bytes = bytes(HttpExchange(payload_parts, "s-1:5001", 240.0).next_unsent()).decode()
         read: list[object] = [
-            envelope.class_index,
-            envelope.deadline,
-            envelope.key,
-            envelope.tenant_index,
-            envelope.is_write,
+            context.class_index,
+            context.deadline,
+            context.key,
+            context.tenant_index,
+            context.is_write,
         ]
-        read += [envelope.is_retry, envelope.cost_hint, letter.deadline_header.decode()]
+        read += [context.is_retry, context.cost_hint, payload_parts.deadline_header.decode()]
         answer = connection.encode_response_head(503, b"busy", ((b"Retry-After", b"1"),), False).decode()
-        found.append([text, read, passed_on, answer])
+        found.append([text, read, forwarded_bytes, answer])
     return found
 
 
 def rejected_requests() -> object:
-    """Return the statuses of requests that are turned away."""
+    """Return the statuses of rejected requests."""
     head = "Req-Id: x9\r\nReq-Kind: read\r\nReq-Owner: acme\r\nReq-Deadline: 0.480\r\n"
     requests = (
         f"POST /api/m-1 HTTP/1.1\r\n{head}\r\n",
@@ -139,7 +140,7 @@
 
 
 def batch_dialogue() -> object:
-    """Return a batch as it is read, its parts, and its answer."""
+    """Return a batch, the requests of its items, and the response with its parsed entries."""
     body = b"m-1\r\na%20b\n\nc\n"
     head = b"Req-Kind: read\r\nReq-Owner: acme\r\nReq-Deadline: 1.0\r\n"
     text = b"POST /mget HTTP/1.1\r\n%bContent-Length: %d\r\n\r\n%b" % (head, len(body), body)
@@ -174,10 +175,10 @@
 
 
 HTTP_FORMS: dict[str, Form] = {
-    "ops-door.json": Form(door_dialogue, as_json),
+    "ops-door.json": Form(admin_dialogue, as_json),
     "ops-telemetry.json": Form(telemetry, as_given),
     "discovery.json": Form(discovery_dialogue, as_json),
-    "numbers-of-names.json": Form(numbers_of_names, as_json),
+    "numbers-of-names.json": Form(hashes_of_names, as_json),
     "http-requests.json": Form(client_dialogue, as_json),
     "http-rejected.json": Form(rejected_requests, as_json),
     "http-batch.json": Form(batch_dialogue, as_json),
--- a/tests/golden_settings_forms.py
+++ b/tests/golden_settings_forms.py
@@ -1,7 +1,7 @@
-"""Settings of every file, with their names, defaults and what they accept.
+"""Settings of all files, with their names, defaults and accepted values.
 
-A part of golden_forms, with the same rules: program names are imported here only, values are built by
-position, and enumerations by value.
+The rules of golden_forms apply: only the golden_*_forms modules import names of the program, values are
+built by position, and enumerations by value.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def operator_settings() -> object:
-    """Return every setting of the operators' file: its default, whether it is live, and what it accepts."""
+    """Return the default, the reload flag and the accepted values of each setting of operators."""
     probes = (
         "-1",
         "0",
@@ -69,7 +69,7 @@
 
 
 def router_settings() -> object:
-    """Return a router's settings as they are read: of a document with all of them, and of a short one."""
+    """Return the settings that are read from a document with all settings and from a minimal one."""
     full = {
         **SETTINGS,
         "zone": 1,
@@ -100,11 +100,11 @@
         },
     }
     short = {"request_classes": [{"deadline": 1000.0}]}
-    return [_plain(reader.parse_settings(json.dumps(env).encode())) for env in (full, short)]
+    return [_as_plain_values(reader.parse_settings(json.dumps(env).encode())) for env in (full, short)]
 
 
-def _plain(told: api.RouterSettings) -> object:
-    """Return settings as plain values in their order."""
+def _as_plain_values(settings: api.RouterSettings) -> object:
+    """Return settings as lists of their values in a fixed order."""
     classes = [
         [
             c.objective_ms,
@@ -116,12 +116,12 @@
             c.repeat_window_ms,
             c.streaming,
         ]
-        for c in told.classes
+        for c in settings.classes
     ]
-    rules, limits = told.rules, told.limits
+    rules, limits = settings.rules, settings.limits
     return {
         "classes": classes,
-        "tenants": [[tenant.share, tenant.quota_per_s] for tenant in told.tenants],
+        "tenants": [[tenant.share, tenant.quota_per_s] for tenant in settings.tenants],
         "rules": [
             rules.stop_sending_within,
             rules.grace_to_answer,
@@ -140,34 +140,34 @@
             limits.max_retry_after_ms,
         ],
         "rest": [
-            told.mode.value,
-            told.origin_kind,
-            told.origin_fall_multiple,
-            told.zone,
-            told.subscribe,
-            told.pushed,
-            told.sized_weights,
-            list(told.report_fields),
-            told.routers,
-            told.position,
-            told.over_share_worth,
-            told.probe_cost,
-            told.cross_zone_cost,
+            settings.mode.value,
+            settings.origin_kind,
+            settings.origin_fall_multiple,
+            settings.zone,
+            settings.subscribe,
+            settings.pushed,
+            settings.sized_weights,
+            list(settings.report_fields),
+            settings.routers,
+            settings.position,
+            settings.over_share_worth,
+            settings.probe_cost,
+            settings.cross_zone_cost,
         ],
     }
 
 
 def fleet_settings() -> object:
-    """Return every setting of the fleet's file with its default; and the file of the repository."""
-    least = fleet_file.FleetFile.model_validate({"witnesses": {"w1": "h:1"}, "drains": {"back": {}}})
+    """Return the defaults of the fleet file, and the values of deploy/fleet.toml."""
+    defaults = fleet_file.FleetFile.model_validate({"witnesses": {"w1": "h:1"}, "drains": {"back": {}}})
     return [
-        least.model_dump(mode="json"),
+        defaults.model_dump(mode="json"),
         fleet_file.load(ROOT / "deploy" / "fleet.toml")[0].model_dump(mode="json"),
     ]
 
 
 def lab_configuration() -> object:
-    """Return the GW_CONFIG that the lab writes for a router, and what its experiment holds."""
+    """Return the configuration that the lab writes for a router, and the settings of its experiment."""
     calm = experiment.load_experiment(ROOT / "experiments" / "calm.toml")
     router = router_config.RouterInstance("n1", "127.0.0.1:1", "127.0.0.1:2", {"rev": 1}, position=1)
     document = router_config.router_config_document(calm, router)
@@ -175,7 +175,7 @@
 
 
 def deploy_keys() -> object:
-    """Return the keys of the deploy file, by table."""
+    """Return the keys of deploy/balancer.toml, by table."""
     document = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text("utf-8"))
     return {name: sorted(part) if isinstance(part, dict) else None for name, part in document.items()}
 
--- a/tests/golden_simulator_forms.py
+++ b/tests/golden_simulator_forms.py
@@ -1,7 +1,7 @@
-"""Representative records of the simulator's wire, and batches with their replies.
+"""Representative records of the simulator's protocol, and batches with their replies.
 
-A part of golden_forms, with the same rules: program names are imported here only, values are built by
-position, and enumerations by value.
+The rules of golden_forms apply: only the golden_*_forms modules import names of the program, values are
+built by position, and enumerations by value.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 def simulator_events() -> list[tuple[int, bytes, api.Event]]:
-    """Return records of every kind with their bytes and the events that they stand for."""
+    """Return the code, the fields and the decoded event of records of each type."""
     pack = struct.pack
     found: list[tuple[int, bytes, api.Event]] = [
         (
@@ -112,19 +112,21 @@
 
 
 def work(ref: int, left: float) -> bytes:
-    """Return a request with so many milliseconds left."""
+    """Return a request record whose deadline is `left` milliseconds away."""
     return record(18, struct.pack(">IQIdQBHfd", 3, ref, 0, 12.0, 99 + ref, 1, 0, 0.0, left))
 
 
-def answers_to(reply: bytes, turn: int, shots: dict[int, int]) -> list[bytes]:
-    """Return what comes of a reply: an outcome for each attempt, each timer at its time, a probe's result."""
+def answers_to(reply: bytes, turn: int, attempt_numbers: dict[int, int]) -> list[bytes]:
+    """Return the records that follow a reply: outcomes of attempts, fired timers and probe results."""
     found = []
     for code, fields in records_of_reply(reply):
         if code == 16:
             _, ref, server, _ = struct.unpack(">IQId", fields)
-            shot = shots[ref] = shots.get(ref, -1) + 1
+            attempt_number = attempt_numbers[ref] = attempt_numbers.get(ref, -1) + 1
             outcome = (404, 598, 200, 503, 500, 502, 504)[(ref + turn) % 7]
-            found.append(record(20, struct.pack(">IQIBBBHdB", 3, ref, server, 0, 1, shot, outcome, 3.5, 0)))
+            found.append(
+                record(20, struct.pack(">IQIBBBHdB", 3, ref, server, 0, 1, attempt_number, outcome, 3.5, 0))
+            )
         elif code == 20:
             found.append(record(22, fields[:12]))
         elif code == 21:
@@ -133,10 +135,10 @@
 
 
 def simulator_input() -> bytes:
-    """Return batches that start a router, tell it a list, and have it send, retry, give up, refuse and fail.
+    """Return batches that start a router and lead to attempts, retries, refusals and failures.
 
-    Each batch answers what the router has done in the one before. The last one is for an instance that has
-    been shut down, and ends the host.
+    Each batch has the outcomes of the actions in the reply before it. The last batch addresses an instance
+    that was shut down, and ends the host.
     """
     text = json.dumps(SIMULATED).encode()
     rows = struct.pack(">HI", 0, 4) + b"".join(
@@ -150,19 +152,19 @@
         [record(17, struct.pack(">IHQB", 3, 9, 0, 1)), work(14, 900.0)],
     ]
     closing = [record(20, struct.pack(">IQIBBBHdB", 3, 99, 5, 0, 1, 0, 200, 3.5, 0)), record(25, b"\0\0\0\3")]
-    played, found, shots = host.SimulatorHost(), b"", dict[int, int]()
+    simulator_host, found, attempt_numbers = host.SimulatorHost(), b"", dict[int, int]()
     waiting: list[bytes] = []
     for turn in range(20):
         records = opening[turn] if turn < len(opening) else waiting
         waiting = [] if turn >= len(opening) else waiting
         made = batch(10.0 + 40.0 * turn, turn, records)
-        waiting += answers_to(played.handle_batch(made[4:]), turn, shots)
+        waiting += answers_to(simulator_host.handle_batch(made[4:]), turn, attempt_numbers)
         found += made
     return found + batch(2000.0, 20, closing) + batch(2001.0, 21, [work(15, 900.0)])
 
 
 def simulator_output(data: bytes) -> bytes:
-    """Return what the host writes; the last batch is for an instance that has ended, and ends the host."""
+    """Return the output of the host, which ends with an error at the last batch."""
     sink = io.BytesIO()
     with mock.patch("sys.stderr", io.StringIO()):
         assert host.serve(io.BytesIO(data), sink) == 1
@@ -170,7 +172,7 @@
 
 
 def simulator_actions() -> bytes:
-    """Return every action as a record, and a reply around them."""
+    """Return a reply that contains a record of each action."""
     actions: list[api.Action] = [
         api.Send(77, 5, 1.5),
         api.SetTimer(3, 2.5),
--- a/tests/golden_support.py
+++ b/tests/golden_support.py
@@ -1,6 +1,6 @@
-"""What the golden forms have in common: where the files are, and what a form is.
+"""Helpers of the golden tests: the folder of the golden files, and the class of a form.
 
-Nothing of the program is used here.
+This module imports no names of the program.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True)
 class Form:
-    """One form: a representative value, and how the program writes and reads it.
+    """Holds a representative value and the functions by which the program encodes and decodes it.
 
-    `comparable` turns the bytes into those that have to be equal, where the form itself is not exact.
-    `grows`: it is a JSON document of names that others may be added to; what is recorded stays as it is.
+    `comparable` returns the part of the bytes that has to be equal, for encodings that are not deterministic.
+    `grows` marks a JSON document to which new names may be added; recorded names and values must not change.
     """
 
     value: Callable[[], Any]
@@ -32,14 +32,14 @@
     grows: bool = False
 
     def holds(self, written: bytes, recorded: bytes) -> bool:
-        """Whether what the program writes now is what was recorded."""
+        """Return whether the written bytes match the recorded ones."""
         if self.grows:
             return _includes(json.loads(written), json.loads(recorded))
         return self.comparable(written) == self.comparable(recorded)
 
 
 def _includes(value: object, recorded: object) -> bool:
-    """Whether a JSON value is the recorded one, with more names in its objects at most."""
+    """Return whether a JSON value equals the recorded one, apart from additional names in its objects."""
     if isinstance(value, dict) and isinstance(recorded, dict):
         return all(name in value and _includes(value[name], part) for name, part in recorded.items())
     if isinstance(value, list) and isinstance(recorded, list):
@@ -48,17 +48,17 @@
 
 
 def constant(value: object) -> Callable[[], object]:
-    """Return a function that gives a value."""
+    """Return a function that returns `value`."""
     return lambda: value
 
 
 def as_json(value: object) -> bytes:
-    """Encode a value as JSON that is pleasant to compare line by line."""
+    """Encode a value as indented JSON with sorted keys, for comparison line by line."""
     return (json.dumps(value, indent=1, sort_keys=True) + "\n").encode()
 
 
 def as_given(value: bytes) -> bytes:
-    """Write bytes as they are."""
+    """Return bytes unchanged, for forms whose value is already encoded."""
     return value
 
 
