--- a/rosepick/http/batch_protocol.py
+++ b/rosepick/http/batch_protocol.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchRequest(ProtocolMessage):
-    """A batch that has been received completely."""
+    """Reports a batch that has been received completely."""
 
     keys: tuple[bytes, ...]
     kind: bytes
--- a/rosepick/http/client_protocol.py
+++ b/rosepick/http/client_protocol.py
@@ -1,4 +1,4 @@
-"""The client side of HTTP/1.1: encodes the request of one attempt and parses its response."""
+"""Client side of HTTP/1.1: encodes the request of one attempt and parses its response."""
 
 from __future__ import annotations
 
--- a/rosepick/http/server_protocol.py
+++ b/rosepick/http/server_protocol.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP/1.1: parses the requests of a client and encodes their responses."""
+"""Server side of HTTP/1.1: parses the requests of a client and encodes their responses."""
 
 from __future__ import annotations
 
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -164,22 +164,22 @@
         mock.patch.stopall()
         super().tearDown()
 
-    def begin(self, who: str, text: str) -> None:
+    def begin(self, actor: str, text: str) -> None:
         size, _, headers = text.partition(" ")
         # The scenario has a clock of its own, so TCP must not delay data until an acknowledgement.
-        self.wire(who).sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.raw(who, PUT.decode() + headers + r"\r\n\r\n")
-        self.more(who, size)
+        self.wire(actor).sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self.raw(actor, PUT.decode() + headers + r"\r\n\r\n")
+        self.more(actor, size)
 
-    def more(self, who: str, size: str) -> None:
+    def more(self, actor: str, size: str) -> None:
         with contextlib.suppress(ConnectionError):
-            self.put(who, COUNTED[: int(size)])
+            self.put(actor, COUNTED[: int(size)])
         self.wait(5)
 
-    def stops(self, who: str) -> None:
-        mock.patch.object(self.wire(who), "pull").start()
+    def stops(self, actor: str) -> None:
+        mock.patch.object(self.wire(actor), "pull").start()
 
-    def faults(self, who: str) -> None:
+    def faults(self, actor: str) -> None:
         """Let the decision module raise an exception for each further outcome of an attempt."""
         mock.patch.object(self.module(), "_handle_outcome", side_effect=KeyError).start()
 
@@ -187,30 +187,30 @@
         super().step()
         self.assertLessEqual(self.server.budget.body_buffers.buffered_bytes, 2 * MAX_STREAM_BUFFER_BYTES)
 
-    def whole(self, who: str, size: str) -> None:
+    def whole(self, actor: str, size: str) -> None:
         """Expect a response with the first `size` bytes of `COUNTED` as its body."""
         for _ in range(2_000):
             self.step()
-            if len(self.wire(who).seen) > int(size):
+            if len(self.wire(actor).seen) > int(size):
                 break
-        body = self.wire(who).seen.partition(b"\r\n\r\n")[2]
+        body = self.wire(actor).seen.partition(b"\r\n\r\n")[2]
         self.assertTrue(body == COUNTED[: int(size)])
 
-    def full(self, who: str) -> None:
+    def full(self, actor: str) -> None:
         """Let no body stream accept further data."""
         mock.patch.object(BodyStream, "writable_bytes", return_value=0).start()
 
-    def flood(self, who: str) -> None:
-        sock, self.written = self.wire(who).sock, 0
+    def flood(self, actor: str) -> None:
+        sock, self.written = self.wire(actor).sock, 0
         for _ in range(300):
             with contextlib.suppress(BlockingIOError):
                 self.written += sock.send(COUNTED[:MIB])
             self.step()
 
-    def breaks(self, who: str) -> None:
-        self.wires[who].pop().sock.close()
+    def breaks(self, actor: str) -> None:
+        self.wires[actor].pop().sock.close()
 
-    def free(self, who: str) -> None:
+    def free(self, actor: str) -> None:
         budget, engine = self.server.budget, self.server.engine
         buffered = (
             engine.pending_count,
@@ -221,16 +221,16 @@
         )
         self.assertEqual(buffered, (0, 0, 0, 0, 0))
 
-    def bounded(self, who: str, limit_mb: str) -> None:
+    def bounded(self, actor: str, limit_mb: str) -> None:
         """Check that the router accepted less than `limit_mb` of the flood, and buffers little of it."""
         self.assertLess(self.written, int(limit_mb) * MIB)
         self.assertLessEqual(self.server.budget.buffered_bytes, 300_000)
 
-    def broken(self, who: str, text: str) -> None:
+    def broken(self, actor: str, text: str) -> None:
         """Expect a truncated response that contains `text`, and no other attempt."""
         mock.patch.stopall()
-        wire = self.wire(who)
-        self.expect(who, "closed")
+        wire = self.wire(actor)
+        self.expect(actor, "closed")
         self.assertIn(text.encode(), wire.seen)
         self.assertLess(len(wire.seen), 200_000)
         self.assertFalse(wire.seen.endswith(b"0\r\n\r\n"))
--- a/tests/test_multiget.py
+++ b/tests/test_multiget.py
@@ -137,22 +137,22 @@
         assert self.server.batch_listener is not None
         return self.server.batch_listener.scheduler
 
-    def wire(self, who: str) -> ScenarioConnection:
-        if not self.wires.get(who) and who.startswith("b"):
+    def wire(self, actor: str) -> ScenarioConnection:
+        if not self.wires.get(actor) and actor.startswith("b"):
             assert self.server.batch_listener is not None
-            self.wires[who] = [
+            self.wires[actor] = [
                 ScenarioConnection(
                     socket.create_connection(self.server.batch_listener.listen_socket.sock.getsockname())
                 )
             ]
-            self.wires[who][0].seen = bytearray()  # responses can be large
-        return super().wire(who)
+            self.wires[actor][0].seen = bytearray()  # responses can be large
+        return super().wire(actor)
 
-    def batch(self, who: str, keys: list[str], wait: str = "3.000") -> None:
+    def batch(self, actor: str, keys: list[str], wait: str = "3.000") -> None:
         """Send a batch; `wait` is the Req-Deadline in seconds."""
         body = "\n".join(keys)
         self.put(
-            who,
+            actor,
             (
                 f"POST /mget HTTP/1.1\r\nReq-Kind: read\r\nReq-Owner: acme\r\nReq-Deadline: {wait}\r\n"
                 f"Content-Length: {len(body)}\r\n\r\n{body}"
@@ -176,19 +176,19 @@
                         except BlockingIOError:
                             self.loop.step(0)
 
-    def read_entries(self, who: str, serving: bool = True) -> list[tuple[str, str, int, int]]:
+    def read_entries(self, actor: str, serving: bool = True) -> list[tuple[str, str, int, int]]:
         """Return the key, id, status and body length of each entry of the response to a batch."""
         for _ in range(3000):
             if serving:
                 self.serve()
             else:
                 self.step()
-            wire = self.wires[who][-1]
+            wire = self.wires[actor][-1]
             if wire.seen.endswith(b"0\r\n\r\n") and (body := unchunked(wire.seen)) is not None:
                 wire.seen = bytearray()
                 self.body = body
                 return [(k.decode(), i.decode(), s, len(b)) for k, i, s, b in parse_entries(body)]
-        self.fail(f"no complete response, but {self.wires[who][-1].seen[:500]!r}")
+        self.fail(f"no complete response, but {self.wires[actor][-1].seen[:500]!r}")
 
     def nothing_left(self) -> None:
         self.assertEqual(
@@ -248,7 +248,7 @@
         self.assertTrue((unchunked(second) or b"").startswith(b"c "))
 
     def test_a_response_that_announces_a_close_is_the_last(self) -> None:
-        """A response under pressure closes its connection unless another batch is pipelined."""
+        """When the policy asks for a close, a response closes its connection unless a batch is pipelined."""
         with mock.patch.object(self.server.listener.policy, "should_close_after_response", return_value=True):
             with mock.patch.object(self, "put") as put:
                 self.batch("b1", ["k1"])
