--- a/tests/test_endpoint_health.py
+++ b/tests/test_endpoint_health.py
@@ -54,23 +54,23 @@
     router.popularity.touch(5)
     server = sends(router.handle(10.0, api.RequestArrived(1, 0, 900.0, key=5)))[0].endpoint_id
     router.handle(100.0, api.ProbeResult(server, Result.OK, 5.0))
-    job = router.pending[1]
-    assert not sends(router.handle(job.check_at, api.TimerFired(decide.CHECK_TIMER | 1)))
-    assert job.in_flight_count() == 1
+    request = router.pending[1]
+    assert not sends(router.handle(request.check_at, api.TimerFired(decide.CHECK_TIMER | 1)))
+    assert request.in_flight_count() == 1
 
 
 def test_an_overdue_request_moves_only_once_its_endpoint_is_ejected() -> None:
     router = create_router()
     router.popularity.touch(5)
     first = sends(router.handle(10.0, api.RequestArrived(1, 0, 900.0, key=5)))[0].endpoint_id
-    job = router.pending[1]
+    request = router.pending[1]
     assert not sends(
-        router.handle(job.overdue_at, api.TimerFired(decide.CHECK_TIMER | 1))
+        router.handle(request.overdue_at, api.TimerFired(decide.CHECK_TIMER | 1))
     )  # one long wait proves nothing
     server = router.endpoints.states[first]
     while not server.ejected:
-        server.record_silence(job.overdue_at)
-    moved = sends(router.handle(job.overdue_at, api.TimerFired(decide.CHECK_TIMER | 1)))
+        server.record_silence(request.overdue_at)
+    moved = sends(router.handle(request.overdue_at, api.TimerFired(decide.CHECK_TIMER | 1)))
     assert len(moved) == 1 and moved[0].endpoint_id != first
 
 
@@ -237,8 +237,8 @@
         for _ in range(200):
             failed = router.handle(now, api.EndpointUpdate(UpdateScope.FAILED))
             (due_at,) = [a.due_at for a in failed if isinstance(a, api.SetTimer)]
-            assert api.Watch(True) not in router.handle(due_at - 1.0, api.TimerFired(decide.CALL_TIMER))
-            assert api.Watch(True) in router.handle(due_at, api.TimerFired(decide.CALL_TIMER))
+            assert api.Watch(True) not in router.handle(due_at - 1.0, api.TimerFired(decide.DISCOVERY_TIMER))
+            assert api.Watch(True) in router.handle(due_at, api.TimerFired(decide.DISCOVERY_TIMER))
             delays.append(due_at - now)
             now = due_at
         longest = [*RETRY_DELAYS_MS, *[RETRY_DELAYS_MS[-1]] * 200]
--- a/tests/test_endpoint_pools.py
+++ b/tests/test_endpoint_pools.py
@@ -185,7 +185,7 @@
 def test_keep_pool_misses_are_bad_only_while_the_origin_is_short(waits: int, bad_attempts: int) -> None:
     router = create_router()
     router.pools.wide_share = 0.2
-    router.origin_waits = waits
+    router.origin_shortages = waits
     router.popularity.touch(5)
     server = sends(router.handle(10.0, api.RequestArrived(1, 0, 900.0, key=5)))[0].endpoint_id
     before = router.popularity.bad_attempts
@@ -200,7 +200,7 @@
     holder = next(router.pools.candidates(hash64(5) % SLOT_COUNT, False, False))
     holder.latency_ewma = decide.WAIT_BOUND_SHARE * READ.objective_ms * 1.2
     router.origin.latency_ewma = 200.0
-    router.origin_waits = waits
+    router.origin_shortages = waits
     sent = sends(router.handle(10.0, api.RequestArrived(1, 0, 900.0, key=5)))
     assert (sent[0].endpoint_id != holder.id) == moves
 
--- a/tests/test_origin_admission.py
+++ b/tests/test_origin_admission.py
@@ -114,7 +114,7 @@
     for n in range(60):
         origin.in_flight = 10
         origin.record_fetch(n * 50.0, READ.objective_ms * 0.8, True)
-    assert origin.limit < decide.THROUGH_FETCHES / 2
+    assert origin.limit < decide.INITIAL_READ_THROUGH_FETCHES / 2
 
 
 def test_writes_are_queued_for_a_failing_origin() -> None:
