--- a/rosepick/attempt_timeouts/__init__.py
+++ b/rosepick/attempt_timeouts/__init__.py
@@ -1,1 +1,1 @@
-"""Adaptive timeouts of attempts and connects. No I/O, no clock, no randomness; standard library only."""
+"""Adaptive timeouts of attempts and connects; no I/O, no clock, no randomness, standard library only."""
--- a/rosepick/attempt_timeouts/adaptive_timeout.py
+++ b/rosepick/attempt_timeouts/adaptive_timeout.py
@@ -1,10 +1,9 @@
-"""Whether to go on waiting for an attempt, by its chance of an answer in time against that of another one.
+"""Decides whether to abandon an attempt for another one that is more likely to be answered in time.
 
-An attempt is abandoned for another one that has the better chance in the time that is left, by more than its
-price. Two things must come together. By the distribution of latencies, which includes attempts that never
-end, the chance of this one has sunk below that of a new one. And others that were sent later have been
-answered: that shows that this one hangs or crawls, rather than that all of them are slow, whatever latencies
-were observed before.
+Two conditions must hold. First, by the distribution of latencies, which includes attempts that never end, a
+new attempt is more likely to be answered in the time left than this one, by more than its cost. Second,
+attempts that were sent later have been answered: this shows that this attempt hangs, rather than that all
+attempts are slow, whatever latencies were observed before.
 """
 
 from __future__ import annotations
@@ -16,54 +15,55 @@
 from .latency_histogram import LatencyHistogram
 from .timeout_budget import TimeoutBudget
 
-REMEMBERED_RESPONSES = 32  # recent responses that are remembered of each kind
-HUNG_FACTOR = 6.0  # the least wait, as a multiple of what is expected, of an attempt that hangs by all signs
-HUNG_MAX_PROBABILITY = 0.05  # the greatest chance left of an attempt that hangs by all signs
+REMEMBERED_RESPONSES = 32  # recent responses remembered for each kind of attempt
+HUNG_FACTOR = 6.0  # least wait, as a multiple of the expected latency, of an attempt that is surely hung
+HUNG_MAX_PROBABILITY = 0.05  # greatest probability of a response for an attempt that is surely hung
 MIN_OVERTAKING_RESPONSES = 5  # responses to later attempts before an attempt is abandoned
-# The chance of another attempt must be greater by this much: work is wasted, and the cache may miss.
+# The probability of another attempt must be greater by this: work is wasted, and the cache may miss.
 RETRY_PROBABILITY_MARGIN = 0.3
-MIN_TIMEOUT_MS = 50.0  # what every attempt is given, and ...
-MIN_TIMEOUT_FACTOR = 1.5  # ... as a multiple of what is expected
-CHECK_INTERVAL_FACTOR = 0.5  # of what is expected, and of the wait so far, between two checks
+MIN_TIMEOUT_MS = 50.0  # no attempt is abandoned earlier
+MIN_TIMEOUT_FACTOR = 1.5  # nor before this multiple of its expected latency
+# Least time between two checks of an attempt, as a share of the expected latency and of the wait so far.
+CHECK_INTERVAL_FACTOR = 0.5
 MIN_CHECK_INTERVAL_MS = 20.0
-REPEATED_WORK_COST = 0.5  # the cost of work done twice, as a multiple of what is expected
-MAX_FETCH_COST_MS = 1_000.0
-MOVED_READ_HIT_RATE = 0.3  # of reads that move to another cache node
+REPEATED_WORK_COST = 0.5  # cost of work done twice, as a multiple of the expected latency
+MAX_FETCH_COST_MS = 1_000.0  # a fetch counts as no more than this in the cost of a retry
+MOVED_READ_HIT_RATE = 0.3  # share of hits among reads that move to another cache node
 HINT_SMOOTHING = 0.02  # weight of a new cost hint in the mean
-HINT_WEIGHT = 0.5  # hints are rough, and latency is not work alone: this part of a hint counts
-MIN_COST_FACTOR = 0.5
-MAX_COST_FACTOR = 4.0
+HINT_WEIGHT = 0.5  # share of a hint that counts: hints are rough, and latency depends on more than work
+MIN_COST_FACTOR = 0.5  # least work of a request by its hint, as a multiple of the usual
+MAX_COST_FACTOR = 4.0  # greatest work of a request by its hint
 MIN_EXPECTED_MS = 1.0
 
 
 @dataclass(slots=True, eq=False)
 class AttemptWait:
-    """One attempt that is waited for. Times are milliseconds."""
+    """An attempt that awaits its response. Times are milliseconds."""
 
     is_fetch: bool  # whether it was sent to the origin
     sent_at: float
     expected_ms: float
-    sequence: int  # in the order in which those of its kind were sent
-    cost_factor: float = 1.0  # the work of its request by the cost hint, as a multiple of the usual
+    sequence: int  # its number among the attempts of its kind, in the order of sending
+    cost_factor: float = 1.0  # work of its request by the cost hint, as a multiple of the usual
     is_abandoned: bool = False
 
 
 class AttemptStatistics:
-    """What is known of one kind of attempt: at cache nodes, or fetches from the origin."""
+    """The observations of one kind of attempt: requests to cache nodes, or fetches from the origin."""
 
     def __init__(self) -> None:
         self.latencies = LatencyHistogram()
         self.sent_count = 0
-        # the sequence numbers of the attempts answered last, the newest last
+        # sequence numbers of the attempts answered most recently, newest last
         self.recent_responses: deque[int] = deque(maxlen=REMEMBERED_RESPONSES)
 
 
 class AdaptiveTimeout:
     """The timeouts of one router's attempts. Times are milliseconds.
 
-    `cache_ms` and `fetch_ms` stand for the latency that is expected of a hit at another cache node and of a
-    fetch from the origin. Without `cache_ms` there is no other cache node. Without `fetch_ms` nodes fetch for
-    themselves, so that their latencies include it.
+    The parameters `cache_ms` and `fetch_ms` are the expected latencies of a hit at another cache node and of
+    a fetch from the origin. `cache_ms` is None if there is no other cache node. `fetch_ms` is None if nodes
+    fetch by themselves (read-through), so that their latencies include the fetch.
     """
 
     def __init__(self) -> None:
@@ -84,7 +84,7 @@
         Args:
             now: the present time.
             is_fetch: whether it goes to the origin.
-            expected_ms: the latency that is expected of an ordinary request.
+            expected_ms: the expected latency of an ordinary request.
             cost_hint: the work of this request, in any unit.
         """
         statistics = self._statistics(is_fetch)
@@ -97,9 +97,9 @@
         return wait
 
     def _cost_factor(self, cost_hint: float | None) -> float:
-        """Return the work of a request as a multiple of the usual, with the hint counted in part.
+        """Return the work of a request as a multiple of the usual; the hint counts in part.
 
-        Guards against taking heavy requests for attempts that hang.
+        Guards against treating expensive requests as hung attempts.
         """
         if not cost_hint or cost_hint <= 0:
             return 1.0
@@ -109,7 +109,7 @@
         return max(MIN_COST_FACTOR, min(MAX_COST_FACTOR, factor))
 
     def finish(self, wait: AttemptWait, now: float, was_answered: bool) -> None:
-        """Record that an attempt was answered, or is waited for no longer."""
+        """Record that an attempt was answered, or no longer awaits a response."""
         statistics = self._statistics(wait.is_fetch)
         ratio = max(0.0, now - wait.sent_at) / wait.expected_ms
         if was_answered:
@@ -119,12 +119,12 @@
             statistics.latencies.record_abandoned(ratio, now)
 
     def count_overtaking(self, wait: AttemptWait) -> int:
-        """Return how many of the remembered responses are to attempts of its kind that were sent later."""
+        """Return how many remembered responses are to attempts of the same kind that were sent later."""
         recent = self._statistics(wait.is_fetch).recent_responses
         return sum(sequence > wait.sequence for sequence in recent)
 
-    def _is_hung_by_all_signs(self, wait: AttemptWait, now: float, time_left: float) -> bool:
-        """Return whether it is very late, all recent responses overtook it, and it has next to no chance."""
+    def _is_surely_hung(self, wait: AttemptWait, now: float, time_left: float) -> bool:
+        """Return whether an attempt is very late, overtaken by all recent responses, and unlikely to end."""
         is_overtaken = (
             now - wait.sent_at >= HUNG_FACTOR * wait.expected_ms
             and self.count_overtaking(wait) == REMEMBERED_RESPONSES
@@ -134,8 +134,9 @@
     def is_hung(self, wait: AttemptWait, is_slow: bool) -> bool:
         """Return whether the lateness of an attempt is no sign of load.
 
-        That is so if enough later ones were answered before it, and the answered ones of its kind are not
-        slow. Guards against closing the origin's admission for answers that never come.
+        This is the case if enough later attempts were answered before it, and the answered attempts of its
+        kind are not slow. Guards against closing the origin's admission because of responses that never
+        come.
 
         Args:
             wait: the attempt.
@@ -144,7 +145,7 @@
         return not is_slow and self.count_overtaking(wait) >= MIN_OVERTAKING_RESPONSES
 
     def response_probability(self, wait: AttemptWait, now: float, time_left: float) -> float:
-        """Return the probability that an attempt is answered within `time_left` from now."""
+        """Return the probability that an attempt is answered within `time_left` ms from now."""
         waited = now - wait.sent_at
         latencies = self._statistics(wait.is_fetch).latencies
         return latencies.response_probability(
@@ -154,7 +155,7 @@
     def new_attempt_probability(
         self, is_fetch: bool, expected_ms: float, now: float, time_left: float
     ) -> float:
-        """Return the probability that an attempt which is sent now is answered within `time_left`."""
+        """Return the probability that an attempt sent now is answered within `time_left` ms."""
         return self._statistics(is_fetch).latencies.response_probability(
             0.0, time_left / max(MIN_EXPECTED_MS, expected_ms), now
         )
@@ -162,10 +163,10 @@
     def retry_probability(
         self, now: float, time_left: float, cache_ms: float | None, fetch_ms: float | None
     ) -> float:
-        """Return the probability that another attempt succeeds within `time_left`.
+        """Return the probability that another attempt succeeds within `time_left` ms.
 
-        It goes to another cache node if there is one. Most reads that move miss there and go on to the
-        origin.
+        The attempt goes to another cache node if there is one. Most reads that move there miss and are then
+        fetched from the origin.
         """
         if fetch_ms is None:
             return 0.0 if cache_ms is None else self.new_attempt_probability(False, cache_ms, now, time_left)
@@ -182,8 +183,8 @@
     ) -> bool:
         """Return whether an attempt may be abandoned at all; a quick check before `try_abandon`.
 
-        While `is_origin_short`, one more fetch is what the origin has no capacity for, and a read that moves
-        mostly needs one: then only an attempt that hangs by all signs is abandoned.
+        With `is_origin_short` the origin has no capacity for another fetch, which a read that moves mostly
+        needs. Then only an attempt that is surely hung is abandoned.
         """
         if (
             now - wait.sent_at < self._min_timeout(wait)
@@ -191,14 +192,14 @@
             or self.count_overtaking(wait) < MIN_OVERTAKING_RESPONSES
         ):
             return False
-        return not is_origin_short or self._is_hung_by_all_signs(wait, now, time_left)
+        return not is_origin_short or self._is_surely_hung(wait, now, time_left)
 
     def try_abandon(
         self, wait: AttemptWait, now: float, time_left: float, cache_ms: float | None, fetch_ms: float | None
     ) -> bool:
-        """Abandon an attempt if another one is better, and return whether it is.
+        """Abandon an attempt if another one has a better chance, and return whether it was abandoned.
 
-        `cache_ms` and `fetch_ms` are those of an ordinary request.
+        `cache_ms` and `fetch_ms` are the latencies of an ordinary request.
         """
         cache_ms = None if cache_ms is None else cache_ms * wait.cost_factor
         fetch_ms = None if fetch_ms is None else fetch_ms * wait.cost_factor
@@ -215,13 +216,13 @@
 
     @staticmethod
     def _min_timeout(wait: AttemptWait) -> float:
-        """Return how long an attempt is waited for in any case, milliseconds."""
+        """Return the least time, in ms, before an attempt may be abandoned."""
         return max(MIN_TIMEOUT_MS, MIN_TIMEOUT_FACTOR * wait.expected_ms)
 
     def _retry_cost(self, wait: AttemptWait, cache_ms: float | None, fetch_ms: float | None) -> float:
-        """Return what a restart costs beside its time, as a multiple of what was expected of the attempt.
+        """Return the cost of a restart beside its time, as a multiple of the attempt's expected latency.
 
-        That is work done twice, and a fetch where the read misses.
+        The cost is the work done twice, and a fetch if the read misses.
         """
         if cache_ms is None or fetch_ms is None:
             return REPEATED_WORK_COST
@@ -231,15 +232,15 @@
     def record_success(self, waits: Iterable[AttemptWait]) -> None:
         """Record that a request was answered in time by the last of these attempts.
 
-        If one of the others was abandoned, that has paid for itself.
+        If an earlier one was abandoned, the budget gets a token back.
         """
         if any(wait.is_abandoned for wait in waits):
             self.budget.record_success()
 
     def next_check_at(self, wait: AttemptWait, now: float) -> float:
-        """Return when to check an attempt the next time; infinity while the budget is empty.
+        """Return when to check an attempt next; infinity while the budget is empty.
 
-        The interval grows with the wait. Guards against spending the CPU on checks while many requests wait.
+        The interval grows with the wait, so that checks take little CPU time while many requests wait.
         """
         if not self.budget.has_token():
             return float("inf")
--- a/rosepick/attempt_timeouts/latency_histogram.py
+++ b/rosepick/attempt_timeouts/latency_histogram.py
@@ -1,11 +1,11 @@
-"""A decaying histogram of latencies, as multiples of what was expected, with censored observations.
-
-An attempt that was abandoned after a while had no answer by then, and nothing more is known of it: it is
-censored. Leaving such attempts out would make answers look quicker than they are, and attempts that never end
-would not show at all. The probabilities are the product-limit estimate (Kaplan and Meier 1958) over
-logarithmic buckets: in each bucket, the part of the attempts still in flight at its start that were answered
-in it. A prior of a few fictitious attempts, some of which never end, stands for what is assumed before
-anything was observed; so no probability is ever 0 or 1.
+"""A decaying histogram of latencies, as multiples of the expected latency, with censored observations.
+
+An attempt that was abandoned had no response until then, and nothing more is known of it: its observation is
+censored. Without such attempts, responses would seem faster than they are, and attempts that never end would
+not be counted at all. The probabilities are the product-limit estimate (Kaplan and Meier 1958) over
+logarithmic buckets: for each bucket, the share of the attempts in flight at its start that are answered in
+it. A prior of a few fictitious attempts, some of which never end, represents the assumption before any
+observation; so no probability is ever 0 or 1.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 DOUBLINGS = 10  # doublings above `MIN_RATIO`; all ratios beyond them share the last bucket
 BUCKET_COUNT = BUCKETS_PER_DOUBLING * DOUBLINGS + 2
 DECAY_TIME_CONSTANT_MS = 5_000.0  # the weight of an observation falls to 1/e in this time
-MAX_DECAY_MS = 50.0 * DECAY_TIME_CONSTANT_MS  # a longer pause decays no further, to stay in the float range
-MIN_RECOMPUTE_INTERVAL_MS = 100.0  # the survival curve is computed no more often than this
+MAX_DECAY_MS = 50.0 * DECAY_TIME_CONSTANT_MS  # longer pauses count as this long, to stay in the float range
+MIN_RECOMPUTE_INTERVAL_MS = 100.0  # least time between two computations of the survival curve
 RESCALE_ABOVE = 1e12  # the weight at which the counts are rescaled
-PRIOR_RESPONSES = 6.0  # fictitious attempts that were answered, around what was expected
+PRIOR_RESPONSES = 6.0  # fictitious attempts that were answered at about the expected latency
 PRIOR_SPREAD_DOUBLINGS = 1.0  # standard deviation of the prior's latencies, in doublings
 PRIOR_UNANSWERED = 0.2  # fictitious attempts that never end
 
 
 def bucket_index(ratio: float) -> int:
-    """Return the bucket of a latency that is `ratio` times what was expected."""
+    """Return the bucket of a latency that is `ratio` times the expected one."""
     if ratio <= MIN_RATIO:
         return 0
     return min(BUCKET_COUNT - 1, 1 + int(BUCKETS_PER_DOUBLING * log2(ratio / MIN_RATIO)))
 
 
 def _prior_weights() -> list[float]:
-    """Return the prior's answered attempts by bucket: normally distributed over the logarithm."""
+    """Return the prior's answered attempts by bucket, distributed log-normally."""
     middle = bucket_index(1.0)
     weights = [
         exp(-(((bucket - middle) / (BUCKETS_PER_DOUBLING * PRIOR_SPREAD_DOUBLINGS)) ** 2) / 2)
@@ -47,30 +47,30 @@
 
 
 class LatencyHistogram:
-    """The latencies of one kind of attempt, as multiples of what was expected. Times are milliseconds."""
+    """The latencies of one kind of attempt, as multiples of the expected latency. Times are milliseconds."""
 
     def __init__(self) -> None:
         self._responses = array("d", bytes(8 * BUCKET_COUNT))
         self._abandoned = array("d", bytes(8 * BUCKET_COUNT))
         self._weight = 1.0  # of an observation at `_weight_at`
         self._weight_at = 0.0
-        # the part of attempts that is still in flight at the start of each bucket
+        # share of the attempts that are still in flight at the start of each bucket
         self._survival = [1.0] * (BUCKET_COUNT + 1)
         self._computed_at = float("-inf")
         self._is_stale = True
 
     def record_response(self, ratio: float, now: float) -> None:
-        """Record an attempt that was answered after `ratio` times what was expected."""
+        """Record an attempt that was answered after `ratio` times the expected latency."""
         self._responses[bucket_index(ratio)] += self._advance_weight(now)
 
     def record_abandoned(self, ratio: float, now: float) -> None:
-        """Record an attempt that was abandoned after `ratio` times what was expected."""
+        """Record an attempt that was abandoned after `ratio` times the expected latency."""
         self._abandoned[bucket_index(ratio)] += self._advance_weight(now)
 
     def _advance_weight(self, now: float) -> float:
         """Return the weight of an observation made now.
 
-        The weight grows with time, which has the same effect as decaying all earlier observations.
+        The weight grows with time, which is equivalent to decaying all earlier observations.
         """
         self._is_stale = True
         self._weight *= exp(max(0.0, min(MAX_DECAY_MS, now - self._weight_at)) / DECAY_TIME_CONSTANT_MS)
@@ -83,7 +83,7 @@
         return self._weight
 
     def _survival_curve(self, now: float) -> list[float]:
-        """Return the part of attempts that is still in flight at the start of each bucket."""
+        """Return the share of attempts that are still in flight at the start of each bucket."""
         if self._is_stale and now - self._computed_at >= MIN_RECOMPUTE_INTERVAL_MS:
             self._computed_at = now
             self._is_stale = False
@@ -102,34 +102,34 @@
         return self._survival
 
     def survival_at(self, ratio: float, now: float) -> float:
-        """Return the part of attempts that has no answer after `ratio` times what was expected."""
+        """Return the share of attempts without a response after `ratio` times the expected latency."""
         survival = self._survival_curve(now)
         bucket = bucket_index(ratio)
         if bucket in (0, BUCKET_COUNT - 1):
             return survival[bucket]
-        # linear between the ends of the bucket, on the logarithmic scale
+        # linear interpolation within the bucket, on the logarithmic scale
         position = BUCKETS_PER_DOUBLING * log2(ratio / MIN_RATIO) - (bucket - 1)
         return survival[bucket] + (survival[bucket + 1] - survival[bucket]) * position
 
     def response_probability(self, waited: float, until: float, now: float) -> float:
-        """Return the probability of an answer by the ratio `until`, given none by the ratio `waited`."""
+        """Return the probability of a response by the ratio `until`, given none by the ratio `waited`."""
         if until <= waited:
             return 0.0
         before = self.survival_at(waited, now)
         return 1.0 - self.survival_at(until, now) / before if before > 0 else 0.0
 
     def optimal_timeout(self, cost: float, now: float) -> float:
-        """Return the timeout that minimizes the mean time to an answer when attempts are restarted.
+        """Return the timeout that minimizes the mean time to a response when attempts are restarted.
 
-        It is the timeout t with the least (time spent by t + cost) / (answered by t): the mean time until an
-        answer if attempts are cut at t and repeated (Luby, Sinclair, Zuckerman 1993).
+        This is the timeout t with the least (time spent by t + cost) / (answered by t), which is the mean
+        time to a response if attempts are abandoned at t and repeated (Luby, Sinclair, Zuckerman 1993).
 
         Args:
-            cost: what each restart costs, as a multiple of what was expected.
-            now: the present time.
+            cost: the cost of each restart, as a multiple of the expected latency.
+            now: the present time, in ms.
 
         Returns:
-            The timeout as a multiple of what was expected; infinity if none has an answer.
+            The timeout as a multiple of the expected latency; infinity if no attempt is ever answered.
         """
         survival = self._survival_curve(now)
         spent = 0.0
--- a/rosepick/attempt_timeouts/timeout_budget.py
+++ b/rosepick/attempt_timeouts/timeout_budget.py
@@ -1,8 +1,8 @@
-"""The budget of abandoned attempts: earned by requests, and refunded by abandonments that paid off."""
+"""The budget of abandoned attempts: requests earn tokens, and abandonments that help are refunded."""
 
 from __future__ import annotations
 
-# Tokens that a request earns. If no abandonment pays off, a tenth of the traffic at most is abandoned.
+# Tokens that a request earns. If no abandonment helps, at most a tenth of the traffic is abandoned.
 TOKENS_PER_REQUEST = 0.1
 MAX_TOKENS = 8.0
 TOKENS_PER_SUCCESS = 1.0  # refunded for a request that was answered in time after an abandoned attempt
@@ -11,15 +11,15 @@
 class TimeoutBudget:
     """A token bucket: abandoning an attempt for another one costs a token.
 
-    Guards against answering a slow fleet with more attempts. Where none of them succeeds the tokens run out
-    soon, and where they help they pay for themselves.
+    Guards against loading a slow fleet with more attempts. If none of these succeeds, the tokens soon run
+    out; if they help, their tokens are refunded.
     """
 
     def __init__(self) -> None:
         self.tokens = MAX_TOKENS
 
     def record_request(self) -> None:
-        """Add what a request earns."""
+        """Add the tokens that a request earns."""
         self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_REQUEST)
 
     def has_token(self) -> bool:
--- a/rosepick/core/body_stream.py
+++ b/rosepick/core/body_stream.py
@@ -1,8 +1,8 @@
-"""A body on its way from one connection to another, through a bounded buffer. No I/O.
+"""A body that is forwarded from one connection to another through a bounded buffer; no I/O.
 
-The writer reads no more from its socket than the stream has capacity for; the reader takes no more than its
-socket accepts. All streams of a router share one buffer budget in equal parts, and each stream has a minimum
-part, so that none ever waits for another one.
+The writer reads no more from its socket than the stream has capacity for, and the reader takes no more than
+its socket accepts. All streams of a router share one buffer budget in equal parts. Each stream has a minimum
+part, so that no stream waits for another.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 def _ignore() -> None:
-    """Do nothing: the callback of a side that does not wait."""
+    """Do nothing; this is the callback of a side that does not wait."""
 
 
 class BufferBudget:
-    """The bytes that all streams may buffer together.
+    """The number of bytes that all streams together may buffer.
 
     Args:
         total_bytes: the size of the budget.
@@ -31,7 +31,7 @@
         self.buffered_bytes = 0
 
     def bytes_per_stream(self) -> int:
-        """Return how many bytes one stream may buffer at present."""
+        """Return how many bytes one stream may buffer now."""
         return max(
             MIN_STREAM_BUFFER_BYTES,
             min(MAX_STREAM_BUFFER_BYTES, self.total_bytes // max(1, self.stream_count)),
@@ -45,9 +45,9 @@
 
     Args:
         budget: the budget that the buffered bytes count against.
-        content_length: the length of the body in bytes, or None if it is not known.
+        content_length: the length of the body in bytes, or None if unknown.
         notifies_reader: whether each change calls `on_readable` at once. Without it the writer calls
-            `notify_reader`; this guards against a parser that is closed within its own call.
+            `notify_reader`, so that the reader cannot close a parser within its own call.
     """
 
     def __init__(
@@ -57,13 +57,13 @@
         self._notifies_reader = notifies_reader
         self.is_complete = False
         self.is_aborted = False
-        self.is_partly_read = False  # some of the body was read, so the buffer no longer holds all of it
+        self.is_partly_read = False  # part of the body was read, so the buffer no longer holds all of it
         self.received_bytes = 0
         self.buffered_bytes = 0
         self.on_readable: Callable[[], None] = _ignore  # bytes arrived, or the body is complete or aborted
         self.on_writable: Callable[[], None] = _ignore  # there is capacity again
         self._budget: BufferBudget | None = budget
-        self.is_paused = False  # the writer waits; not derived, as capacity grows while other streams end
+        self.is_paused = False  # the writer waits; stored, as capacity may grow when other streams end
         self._chunks: deque[bytes] = deque()
         budget.stream_count += 1
 
@@ -136,10 +136,10 @@
         return self.is_aborted and not self.buffered_bytes
 
     def close(self) -> None:
-        """Drop what is buffered: nobody reads any more.
+        """Drop the buffered bytes, as there is no reader any more.
 
-        A complete body of which unread bytes are dropped becomes an aborted one. Guards against a body that
-        passes for one that was read whole: an upstream would be sent a shorter one.
+        A complete body with unread bytes becomes an aborted one. Guards against an upstream that is sent a
+        truncated body as a complete one.
         """
         if self.buffered_bytes:
             self.is_complete = False
@@ -149,7 +149,7 @@
             self._budget.stream_count -= 1
             self._budget = None
         self._chunks.clear()
-        self.on_readable = self.on_writable = _ignore  # guards against reference cycles with both sides
+        self.on_readable = self.on_writable = _ignore  # avoids reference cycles with both sides
 
     def _adjust_buffered(self, change: int) -> None:
         self.buffered_bytes += change
--- a/rosepick/core/clock.py
+++ b/rosepick/core/clock.py
@@ -7,7 +7,7 @@
 
 
 class TimerHandle(Protocol):
-    """A timer that was set."""
+    """A handle of a timer that was set."""
 
     def cancel(self) -> None:
         """Cancel the timer; no effect on one that has fired."""
@@ -20,4 +20,4 @@
         """Return the time in milliseconds; it never goes backwards."""
 
     def call_at(self, at_ms: float, callback: Callable[[], None], run_first: bool = False) -> TimerHandle:
-        """Call back at `at_ms` or soon after; with `run_first` before the other timers of the same time."""
+        """Call `callback` at `at_ms` or soon after; with `run_first` before other timers of that time."""
--- a/rosepick/core/endpoint_directory.py
+++ b/rosepick/core/endpoint_directory.py
@@ -1,6 +1,6 @@
-"""The endpoint directory: discovery's list, turned into the module's endpoints and their addresses.
+"""The endpoint directory converts discovery's list to the decision module's endpoints and their addresses.
 
-Endpoint ids come from a stable hash, so that all routers rank the same endpoints alike.
+Endpoint ids are a stable hash, so that all routers rank the same endpoints alike.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 _STATUS_BY_NAME = {"active": api.Status.READY, "leaving": api.Status.DRAINING, "left": api.Status.REMOVED}
 
-# The start of an endpoint that started just when the loop's clock was 0, which would read as "long ago".
+# The start time of an endpoint that started when the loop's clock was 0, as 0 means "long ago".
 _ZERO_START_MS = 1e-3
 
 
@@ -25,7 +25,7 @@
 
 
 def hash_uid(uid: str, salt: int = 0) -> int:
-    """Return the hash of an endpoint's uid: a non-zero u32, as the module takes 0 for none."""
+    """Return the hash of an endpoint's uid: a non-zero u32, as 0 means no endpoint."""
     return _nonzero_digest(blake2b(uid.encode(), digest_size=4, key=salt.to_bytes(4, "big")))
 
 
@@ -34,10 +34,10 @@
 
 
 def _content_hash(row: dict[str, Any]) -> int:
-    """Return a hash of a row as received; another one each time for a row with values that are no scalars."""
+    """Return a hash of a row as received; a row with values that are not scalars gets an arbitrary one."""
     try:
         return hash(tuple(row.items()))
-    except TypeError:  # a list or an object in it
+    except TypeError:  # it contains a list or an object
         return id(row)
 
 
@@ -65,19 +65,19 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectoryUpdate:
-    """An applied update: the module's event, and the endpoints whose idle connections are to be closed."""
+    """An applied update: the event, and the endpoints whose idle connections are to be closed."""
 
     event: api.EndpointUpdate
     retired_endpoint_ids: tuple[int, ...]
-    retired_uids: tuple[str, ...]  # of those that were ready before, for the log
+    retired_uids: tuple[str, ...]  # those that were ready before, for the log
 
 
 class EndpointDirectory:
-    """The endpoints as notified by discovery so far.
+    """The endpoints as last notified by discovery.
 
     Args:
         names: the indexes of zones and endpoint kinds by name.
-        unix_offset_ms: Unix time less the event loop's clock, milliseconds.
+        unix_offset_ms: Unix time minus the event loop's clock, in milliseconds.
     """
 
     def __init__(self, names: NameIndexes, unix_offset_ms: float) -> None:
@@ -87,7 +87,7 @@
         self.ids_by_uid: dict[str, int] = {}
         self._uids_by_id: dict[int, str] = {}
         self._rows_by_uid: dict[str, ParsedRow] = {}  # of the listed endpoints
-        self._new_uids: list[str] = []  # that the present update has given ids to
+        self._new_uids: list[str] = []  # uids to which the present update has assigned ids
         self.revision = 0
 
     def uid_of(self, endpoint_id: int) -> str | None:
@@ -99,8 +99,8 @@
         """Apply a full list or a change of it.
 
         Args:
-            update: the document of discovery.
-            is_cached: whether it comes from the settings file rather than from discovery.
+            update: the document from discovery.
+            is_cached: whether it comes from the settings file, not from discovery.
 
         Raises:
             ValueError: the document is malformed; nothing was applied.
@@ -129,7 +129,7 @@
         return DirectoryUpdate(event, retired_ids, tuple(newly_retired))
 
     def _find_retired(self, entries: dict[int, EndpointEntry], gone: list[int]) -> list[EndpointEntry]:
-        """Return the entries, as they were, that are gone, not ready, restarted or at another address."""
+        """Return the previous entries of endpoints that are gone, not ready, restarted or moved."""
         retired = [self.endpoints[endpoint_id] for endpoint_id in gone]
         for endpoint_id, entry in entries.items():
             previous = self.endpoints.get(endpoint_id)
@@ -150,7 +150,7 @@
                 self._forget(entry.endpoint_id)
 
     def _release_new_ids(self) -> None:
-        """Take back the ids that a malformed update was given."""
+        """Release the ids that were assigned by a malformed update."""
         for uid in self._new_uids:
             del self._uids_by_id[self.ids_by_uid.pop(uid)]
 
@@ -161,7 +161,7 @@
         self._rows_by_uid.pop(entry.uid, None)
 
     def _read_row(self, row: SettingsReader) -> ParsedRow:
-        """Return what a row says; one that is as it was is not parsed again."""
+        """Return a parsed row; a row that has not changed is not parsed again."""
         content = _content_hash(row.data)
         known = self._rows_by_uid.get(row.data.get("uid", ""))
         if known is not None and known.content == content:
@@ -177,19 +177,19 @@
             )
         boot_unix_ms = row.number("boot_ms", 0.0)
         started_at = 0.0
-        if boot_unix_ms > 0:  # before the clock's zero, the start is negative
+        if boot_unix_ms > 0:  # negative if it started before the clock's zero
             started_at = boot_unix_ms - self.unix_offset_ms or _ZERO_START_MS
         uid = row.text("uid")
         address = row.parsed("endpoint", parse_address, ADDRESS_FORMAT, ("", 0))
         zone = self.names.zones.get(row.text("az"), len(self.names.zones))
         kind = self.names.kinds.get(row.text("model"), len(self.names.kinds))
-        # assigned last: a malformed row must not take an id
+        # the id is assigned last, so that a malformed row gets none
         return EndpointEntry(
             self._assign_id(uid), uid, address, _STATUS_BY_NAME[state], started_at, zone, kind
         )
 
     def _assign_id(self, uid: str) -> int:
-        """Return the endpoint's id: its hash, with the next salt while another uid has that id."""
+        """Return the endpoint's id: the hash of its uid, with the next salt while another uid has that id."""
         salt = 0
         while (assigned := self.ids_by_uid.get(uid)) is None:
             endpoint_id = hash_uid(uid, salt)
--- a/rosepick/core/engine.py
+++ b/rosepick/core/engine.py
@@ -1,7 +1,8 @@
 """The engine: one decision module, the requests in progress, their attempts and timers.
 
-It turns what happens into `api` events and carries out `api` actions through ports. It decides nothing, and
-knows no socket, no HTTP and no clock of its own. A protocol adapter is whatever hands requests in.
+It converts occurrences to `api` events and executes `api` actions through ports. It makes no decisions, and
+has no sockets, no HTTP and no clock of its own. A protocol adapter is a component that passes requests to
+the engine.
 """
 
 from __future__ import annotations
@@ -39,13 +40,13 @@
 
 
 class Engine:
-    """Owns one decision module and all requests in progress.
+    """Runs one decision module and holds all requests in progress.
 
     Args:
         settings: the router's settings.
         seed: the seed of the decision module's random draws.
         clock: the clock and its timers.
-        decision_module: another decision module than the router's own.
+        decision_module: a decision module to use in place of `Router`.
     """
 
     upstream: UpstreamPort
@@ -71,10 +72,10 @@
         self._events: deque[api.Event | RequestContext] = deque()
         self._is_dispatching = False
 
-    # ----------------------------------------------------------------------------------- what happens
+    # ------------------------------------------------------------------------------------ occurrences
 
     def accept(self, request: RequestContext, downstream: DownstreamPort) -> None:
-        """Accept a request; from here on `downstream` is due its final answer."""
+        """Accept a request; from now on `downstream` is due its final answer."""
         self._last_ref += 1
         request.ref = self._last_ref
         request.downstream = downstream
@@ -91,7 +92,7 @@
         self._dispatch(request)
 
     def _shed(self, request: RequestContext) -> None:
-        """Answer a request that this router is too far behind for, at the least cost."""
+        """Answer a request that was read too late to be served, at the least cost."""
         is_refused = self.clock.now() < request.deadline
         outcome = RequestOutcome.REFUSED if is_refused else RequestOutcome.DEADLINE_EXCEEDED
         downstream = self._close_request(request, outcome, api.EndReason.READ_LATE)
@@ -111,7 +112,7 @@
         )
 
     def complete_upload(self, request: RequestContext, deadline: float) -> None:
-        """The last byte of a partial request arrived: its time counts from here."""
+        """Record the last byte of a partial request: its time counts from now on."""
         if request.is_finished or not request.is_partial:
             return
         request.is_partial = False
@@ -125,7 +126,7 @@
         self._dispatch(api.RequestCompleted(request.ref, max(0.0, deadline - self.clock.now())))
 
     def handle_disconnect(self, request: RequestContext) -> None:
-        """The client disconnected; it is due no answer any more."""
+        """Record that a client disconnected; its request needs no answer any more."""
         if request.is_finished:
             return
         self._close_request(request, RequestOutcome.CLIENT_GONE)
@@ -137,7 +138,7 @@
         self._release_if_finished(request)
 
     def reconfigure(self, settings: api.RouterSettings) -> None:
-        """Apply other settings to requests that arrive from here on."""
+        """Apply new settings to requests that arrive from now on."""
         self.settings = settings
         self._dispatch(api.Reconfigured(settings))
 
@@ -146,20 +147,20 @@
         self.rejected_by_class[class_index] += 1
 
     def retry_after_ms(self, class_index: int) -> float:
-        """Return when a client may come back whose request was refused unseen; 0 for no advice."""
+        """Return when a client may retry a request that the module has not seen, in ms; 0 for no advice."""
         classes = self.settings.classes
         request_class = classes[class_index] if class_index < len(classes) else classes[0]
         return min(self.settings.limits.max_retry_after_ms, request_class.objective_ms)
 
     def record_shed(self, class_index: int, late_ms: float, is_refused: bool) -> None:
-        """Count a request that was answered before it became one, as this router is behind."""
+        """Count a request that was answered before it was accepted, as this router is behind."""
         self.counts["requests"] += 1
         self.counts["shed_at_accept"] += 1
         outcome = RequestOutcome.REFUSED if is_refused else RequestOutcome.DEADLINE_EXCEEDED
         self.request_counters.record(class_index, outcome, api.EndReason.READ_LATE.name.lower(), late_ms)
 
     def totals(self) -> Counter[str]:
-        """Return all counts since the start, with the outcomes of requests."""
+        """Return all counts since the start, including request outcomes."""
         totals = Counter(self.counts)
         for (_, outcome), count in self.request_counters.counts_by_outcome().items():
             counted_as = RequestOutcome.FAILED if outcome is RequestOutcome.DEADLINE_EXCEEDED else outcome
@@ -181,7 +182,7 @@
     ) -> None:
         """Record the end of an attempt. A served response is forwarded before anything else.
 
-        `malformed`: a response arrived that cannot be read. `body_consumed`: the body cannot be sent again.
+        `malformed`: the response cannot be parsed. `body_consumed`: the body cannot be sent again.
         """
         request = attempt.request
         if not check_invariant(
@@ -215,10 +216,10 @@
     def begin_response_stream(self, attempt: UpstreamAttempt, cache_status: int, response: object) -> bool:
         """Begin to forward a served response as it arrives.
 
-        That decides the attempt: from here on no deadline counts and no other attempt is made.
+        The attempt is decided by this: no deadline applies from now on, and no other attempt is made.
 
         Returns:
-            Whether the client still waits for it.
+            Whether the client still waits for the response.
         """
         request = attempt.request
         if not request.awaits_response():
@@ -256,12 +257,12 @@
         self.written_attempts_by_class[attempt.request.class_index] += 1
 
     def _observe_outcome(self, request: RequestContext, outcome: RequestOutcome) -> None:
-        """Observe a final answer as it is given or begins; for a subclass."""
+        """Observe a final answer when it is sent or begins; subclasses override this."""
 
     # ----------------------------------------------------------------------------- events and decisions
 
     def _dispatch(self, event: api.Event | RequestContext) -> None:
-        """Decide on events one after another, also on those that actions cause at once."""
+        """Decide on events one after another, including those that actions cause immediately."""
         self._events.append(event)
         if self._is_dispatching:
             return
@@ -274,15 +275,15 @@
 
     def _decide(self, queued: api.Event | RequestContext) -> None:
         now = self.clock.now()
-        # The time left is taken at the very moment the module counts it from. Guards against a deadline of
-        # its own that differs a little: a timeout just before it would be refused, not failed.
+        # The time left is computed at the moment from which the module counts it. Otherwise the module's
+        # deadline would differ slightly, and a timeout just before it would be refused, not failed.
         event = queued.to_event(now) if isinstance(queued, RequestContext) else queued
         try:
             actions = self._handle(now, event)
         except Exception as error:
             self._handle_fault(event, error)
-            # What was decided before the fault stands: the module counts those attempts as in flight, and
-            # its tick sets the next one first.
+            # Actions decided before the fault are executed: the module counts their attempts as in flight,
+            # and a tick sets the next tick's timer first.
             actions = self.router.actions
         for action in actions:
             try:
@@ -294,7 +295,7 @@
         return self.router.handle(now, event)
 
     def _handle_fault(self, event: api.Event, error: Exception) -> None:
-        """Fail the one request that an exception concerns; the process goes on."""
+        """Fail the request that an exception concerns; the process continues."""
         self.counts["faults"] += 1
         ref = getattr(event, "ref", 0)
         log_exception(
@@ -355,7 +356,7 @@
             self.finish_attempt(attempt, Result.NEVER_SENT)
             return
         self.counts["attempts"] += 1
-        # before the module's own deadline timer: a timeout is evidence about the endpoint, a cancelled
+        # fires before the module's deadline timer: a timeout is evidence about the endpoint, a cancelled
         # attempt is not
         self._set_attempt_timeout(attempt, stop_at)
         try:
@@ -376,10 +377,10 @@
         )
 
     def _may_send(self, request: RequestContext, attempt: UpstreamAttempt) -> bool:
-        """Return whether an attempt may be sent at all.
+        """Return whether an attempt may be sent.
 
-        The module has asked the same; it is asked again with what the engine itself knows, as the fleet would
-        see a violation. Only a deadline may have passed in between.
+        The module has already checked this. The engine checks again with its own facts, because a violation
+        would reach the fleet. Only a deadline may have passed in between.
         """
         facts = SendFacts(
             now=attempt.sent_at,
@@ -404,8 +405,8 @@
     ) -> Denial | None:
         """Return why the first byte of an attempt may not be written now; None if it may.
 
-        If it had to connect first, or is not the first one, it is looked whether its client is still there:
-        time has passed, and nobody may have noticed yet.
+        If the attempt had to connect first, or is a retry, this also checks whether the client is still
+        connected: time has passed, and a disconnect may not have been noticed yet.
         """
         request = attempt.request
         may_have_left = attempt.number > 0 or had_to_connect
@@ -473,7 +474,7 @@
         self._release_if_finished(request)
 
     def _deliver_response(self, kind: str, respond: Callable[[], None]) -> None:
-        """Hand over a final answer; a fault of the downstream must not keep events from the module."""
+        """Deliver a final answer; a fault of the downstream must not keep events from the module."""
         try:
             respond()
         except Exception as error:
@@ -486,7 +487,7 @@
         outcome: RequestOutcome,
         reason: api.EndReason = api.EndReason.UNSPECIFIED,
     ) -> DownstreamPort:
-        """Mark a request as finished, and return who is due the answer."""
+        """Mark a request as finished, and return the downstream that is due the answer."""
         if not request.response_started:
             self._observe_outcome(request, outcome)
         request.is_finished = True
@@ -513,7 +514,7 @@
             and elapsed_ms > classes[request.class_index].objective_ms
         ):
             cause = "late"
-        # what the platform prices: a client that waited for an answer for which no endpoint was asked
+        # The platform charges for a client that waits for over half its time while no attempt is made for it.
         if (
             outcome in UNSERVED_OUTCOMES
             and not request.attempts
@@ -555,8 +556,8 @@
     def _release_if_finished(self, request: RequestContext) -> None:
         """Drop a finished request once none of its attempts is in flight.
 
-        An attempt that is not fully written is cancelled, whatever the module leaves in flight. Guards
-        against a connect that succeeds after the client has left, whose request would be sent for nobody.
+        An attempt that is not fully written is cancelled, even if the module leaves it in flight. Guards
+        against a connect that succeeds after the client has left: its request would be sent for no client.
         """
         for attempt in request.attempts:
             if request.is_finished and attempt.is_in_flight and not attempt.is_fully_written:
--- a/rosepick/core/invariants.py
+++ b/rosepick/core/invariants.py
@@ -13,7 +13,7 @@
 
 
 def record_violation(name: str, **context: object) -> None:
-    """Count and log a violation, in every build; the caller copes with it.
+    """Count and log a violation, in every build; the caller must handle it.
 
     Args:
         name: the name of the invariant.
@@ -26,7 +26,7 @@
 def check_invariant(condition: bool, name: str, **context: object) -> bool:
     """Return whether an invariant holds; count and log a violation.
 
-    The caller must cope with False, as release builds go on.
+    The caller must handle False, as release builds continue.
 
     Args:
         condition: whether the invariant holds.
--- a/rosepick/core/observed_engine.py
+++ b/rosepick/core/observed_engine.py
@@ -1,4 +1,4 @@
-"""An engine that shows an observer what goes into the decision module and what comes out."""
+"""An engine that passes the decision module's events and actions to an observer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .request_context import RequestContext
 from .request_counters import RequestOutcome
 
-logger = logging.getLogger("rosepick.core.engine")  # its log lines are the engine's
+logger = logging.getLogger("rosepick.core.engine")  # it logs under the engine's name
 
 
 class ObservedEngine(Engine):
@@ -23,7 +23,7 @@
         settings: the router's settings.
         seed: the seed of the decision module's random draws.
         clock: the clock and its timers.
-        observer: what is shown them.
+        observer: the observer that is called with them.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         self._notify_observer(self.observer.on_outcome, self.clock.now(), request, outcome)
 
     def _notify_observer(self, notify: Callable[..., None], *args: object) -> None:
-        """Call the observer; a fault of it must not keep a request from its answer."""
+        """Call the observer; its faults must not keep a request from its answer."""
         try:
             notify(*args)
         except Exception as error:
--- a/rosepick/core/ports.py
+++ b/rosepick/core/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces that the engine decides by, sends through, learns endpoints from and is observed by."""
+"""The interfaces of the engine's decision module, upstream, endpoint source and observer."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 
 
 class DecisionModule(Protocol):
-    """What decides: the module, or another policy with the same interface."""
+    """Makes the decisions: `Router`, or another policy with the same interface."""
 
-    actions: list[api.Action]  # of the current call, also if it raised an exception
+    actions: list[api.Action]  # of the current call, even if it raised an exception
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Return the actions that an event calls for; `now` is in milliseconds."""
 
 
 class UpstreamPort(Protocol):
-    """What carries attempts out. It reports the end of each one once, by `Engine.finish_attempt`."""
+    """Carries out attempts. It reports the end of each one once, by `Engine.finish_attempt`."""
 
     def start_attempt(self, attempt: UpstreamAttempt) -> None:
         """Start an attempt."""
 
     def cancel_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Stop an attempt, without a report of its end."""
+        """Cancel an attempt, without a report of its end."""
 
 
 class EndpointSource(Protocol):
-    """Where the endpoint list comes from."""
+    """Supplies the endpoint list."""
 
     def set_watching(self, enabled: bool) -> None:
-        """Follow changes of the list from now on, or no longer."""
+        """Start or stop following changes of the list."""
 
 
 class EngineObserver(Protocol):
-    """Receives all that the module is fed and decides, in order. It changes nothing."""
+    """Receives all events and decisions of the module in order, without changing them."""
 
     def on_request(self, now: float, request: RequestContext, actions: list[api.Action]) -> None:
-        """Record that the module was fed a request and returned these actions."""
+        """Record that the module was given a request and returned these actions."""
 
     def on_event(self, now: float, event: api.Event, actions: list[api.Action]) -> None:
-        """Record that the module was fed another event and returned these actions."""
+        """Record that the module was given another event and returned these actions."""
 
     def on_outcome(self, now: float, request: RequestContext, outcome: RequestOutcome) -> None:
         """Record the outcome of a request."""
--- a/rosepick/core/request_context.py
+++ b/rosepick/core/request_context.py
@@ -1,4 +1,4 @@
-"""Requests that are in progress, their attempts, and the interface of who handed them in."""
+"""Requests in progress, their attempts, and the interface to the protocol adapter they came from."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class DownstreamPort(Protocol):
-    """Who handed a request in. It gets exactly one of these calls, unless it has disconnected."""
+    """The source of a request. It gets exactly one of these calls, unless it has disconnected."""
 
     def send_response(self, request: RequestContext, response: object) -> None:
-        """Forward an upstream's response as it is."""
+        """Forward an upstream's response unchanged."""
 
     def start_response_stream(self, request: RequestContext, response: object) -> None:
         """Begin to forward an upstream's response as it arrives.
 
-        The port reports the end of it by `Engine.end_response_stream`, unless its client disconnects.
+        The port reports its end by `Engine.end_response_stream`, unless the client disconnects.
         """
 
     def send_refusal(self, request: RequestContext, retry_after_ms: float) -> None:
@@ -32,8 +32,8 @@
         """Fail the request because of a fault of this program."""
 
 
-def _nobody_looks() -> bool:
-    """Return that the client is there: its protocol adapter has no way to look."""
+def _assume_connected() -> bool:
+    """Return False: this protocol adapter cannot check whether its client has left."""
     return False
 
 
@@ -51,8 +51,8 @@
     is_write: bool = False
     is_retry: bool = False
     cost_hint: float | None = None
-    payload: object = None  # the protocol adapter's own form of the request, for its upstreams
-    ref: int = 0  # the engine's number of the request
+    payload: object = None  # the request in the protocol adapter's form, for the upstream
+    ref: int = 0  # the number that the engine gave the request
     downstream: DownstreamPort | None = None
     is_finished: bool = False
     is_partial: bool = False  # its last byte has not arrived; the deadline is provisional
@@ -61,10 +61,11 @@
     attempts: list[UpstreamAttempt] = field(default_factory=list)
     watchdog_timer: TimerHandle | None = None
     started_at: float = 0.0  # when its time began to count
-    read_late_ms: float = 0.0  # how long it may have waited to be read
+    read_late_ms: float = 0.0  # how long it may have waited before it was read
     busy_ms: float = 0.0  # for how long the router had not been idle when it was read
     client_id: str = ""  # the client's own id of the request, for the log
-    client_has_left: Callable[[], bool] = _nobody_looks  # looks, even if nothing was noticed so far
+    # checks the connection itself, as a disconnect may not have been noticed
+    client_has_left: Callable[[], bool] = _assume_connected
 
     def awaits_response(self) -> bool:
         """Return whether its final answer is due.
@@ -90,15 +91,15 @@
 
 @dataclass(slots=True, eq=False)
 class UpstreamAttempt:
-    """One sending of a request to one endpoint. Times are milliseconds of the event loop's clock."""
+    """One attempt at one endpoint. Times are milliseconds of the event loop's clock."""
 
     request: RequestContext
-    number: int  # its position among the attempts of the request
+    number: int  # its index among the attempts of the request
     endpoint_id: int
     sent_at: float
     stop_at: float  # when it times out
-    begin_by: float  # its first byte is not to be written later than this
+    begin_by: float  # its first byte must not be written later
     is_in_flight: bool = True
     result: api.Result | None = None  # once it has ended
-    is_fully_written: bool = False  # its last byte was written: only from then on can it be executed
+    is_fully_written: bool = False  # its last byte was written: an endpoint cannot execute it before
     timeout_timer: TimerHandle | None = None
--- a/rosepick/core/request_counters.py
+++ b/rosepick/core/request_counters.py
@@ -1,7 +1,7 @@
-"""Counters of finished requests by class, outcome and cause, with the time that they took.
+"""Counters of finished requests by class, outcome and cause, with their total duration.
 
 There are two numbers for each combination, whatever the traffic. They are logged as totals since the start,
-so that the difference of two log lines is what happened between them.
+so that the difference of two log lines is the traffic between them.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class RequestCounters:
-    """Totals of finished requests by class index, outcome and cause; the cause is "" where there is none."""
+    """Totals of finished requests by class index, outcome and cause; the cause is "" if there is none."""
 
     def __init__(self) -> None:
         self.counts: Counter[tuple[int, RequestOutcome, str]] = Counter()
@@ -35,7 +35,7 @@
         Args:
             class_index: the index of its request class.
             outcome: how it ended.
-            cause: why it ended so, or "".
+            cause: the reason for the outcome, or "".
             elapsed_ms: milliseconds from its arrival to its end.
         """
         key = class_index, outcome, cause
@@ -54,12 +54,12 @@
     ) -> Iterator[dict[str, object]]:
         """Yield the log fields of each class that has finished requests.
 
-        They are the name of the class, the worth of a request, the counts by outcome and cause, and beside
-        each count the summed milliseconds, under the same name with `_ms`.
+        The fields are the name of the class, the value of a request (`worth`), the counts by outcome and
+        cause, and for each count the total milliseconds, under the same name with `_ms`.
 
         Args:
             names: the names of classes by index.
-            worths: the worth of a request by class index.
+            worths: the value of a request by class index.
         """
         for class_index in sorted({index for index, _, _ in self.counts}):
             fields: dict[str, object] = {
--- a/rosepick/decisions/api.py
+++ b/rosepick/decisions/api.py
@@ -16,9 +16,9 @@
 class Effect(Enum):
     """What a second execution of a request does."""
 
-    RETRYABLE = "retryable"  # nothing: a retry is harmless
-    DEDUP = "dedup"  # dropped by a group of endpoints for `repeat_window_ms`
-    FRAGILE = "fragile"  # a second effect: never retry what may have run
+    RETRYABLE = "retryable"  # it has no further effect: a retry is harmless
+    DEDUP = "dedup"  # a group of endpoints drops it for `repeat_window_ms`
+    FRAGILE = "fragile"  # it has a second effect: a request that may have run is never retried
 
 
 class Group(Enum):
@@ -37,7 +37,7 @@
 
 
 class Status(IntEnum):
-    """State of an endpoint by the endpoint list."""
+    """The state of an endpoint according to the endpoint list."""
 
     REMOVED = 0
     READY = 1
@@ -47,7 +47,7 @@
 class UpdateScope(Enum):
     """What an `EndpointUpdate` carries."""
 
-    CACHED = "cached"  # the whole list as last known, perhaps old
+    CACHED = "cached"  # the whole list as last known, which may be out of date
     FULL = "full"  # the whole list
     DELTA = "delta"  # changed entries only
     FAILED = "failed"  # a call failed or the subscription broke; the last list stays valid
@@ -65,7 +65,7 @@
     CANCELLED = "cancelled"
     NEVER_SENT = "moot"
     MISS = "miss"
-    CONNECTION_LIMIT = "no_place"  # a new connection was refused; says nothing of the load
+    CONNECTION_LIMIT = "no_place"  # a new connection was refused; that says nothing about the load
     INVALID = "unfit"  # the request itself was rejected, as it would be by any endpoint
 
 
@@ -74,7 +74,7 @@
 
     UNSPECIFIED = ""
     OVERLOADED = "crowded"  # this router has too much in flight
-    TOO_SLOW = "slow"  # a response in time is not expected
+    TOO_SLOW = "slow"  # no response is expected in time
     NO_ENDPOINT = "nobody"  # no endpoint can take it
     QUEUE_TIMEOUT = "queue"  # it was queued for the origin until too late
     NO_ORIGIN = "no_origin"  # the endpoint list has none
@@ -84,7 +84,7 @@
     BODY_CONSUMED = "spent"  # an attempt failed, and its body is no longer held
     DEADLINE = "deadline"
     INVALID = "unfit"  # the request itself was rejected
-    READ_LATE = "read_late"  # it had waited for too long when it was read
+    READ_LATE = "read_late"  # it had waited too long before it was read
 
 
 NEVER_RAN = frozenset(
@@ -97,7 +97,7 @@
         Result.CONNECTION_LIMIT,
     }
 )
-"""Results that prove that the attempt had no effect."""
+"""The results that prove that an attempt had no effect."""
 
 
 def _require_in_range(name: str, value: float, low: float, high: float = float("inf")) -> None:
@@ -107,9 +107,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: objective, deadline, worth and effect.
+    """A class of requests: its objective, deadline, value (`worth`) and effect.
 
-    `late_share` is the share of the worth that is left between objective and deadline.
+    `late_share` is the share of the value that a response has between objective and deadline.
 
     Raises:
         ValueError: a value is out of range; the message names the setting.
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingRules:
-    """Parameters of the rules that every decision keeps; times in ms.
+    """The parameters of the rules that every decision follows; times in ms.
 
     Raises:
         ValueError: a value is out of range; the message names the setting.
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterLimits:
-    """What a router is allowed to do.
+    """The limits of what a router may do.
 
     Raises:
         ValueError: a value is out of range; the message names the setting.
@@ -207,7 +207,7 @@
     origin_fall_multiple: float = 0.0
     zone: int = 0
     subscribe: bool = False
-    pushed: bool = False  # lists are pushed as soon as discovery has them, also where `subscribe` is set
+    pushed: bool = False  # whether lists are pushed as soon as discovery has them, also with `subscribe`
     sized_weights: bool = False
     report_fields: tuple[str, ...] = ()
     routers: int = 1
@@ -235,7 +235,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One entry of the endpoint list; `started_at` is on the router's clock, 0 if long ago."""
+    """One entry of the endpoint list; `started_at` is on the router's clock in ms, 0 if long ago."""
 
     endpoint_id: int
     status: Status = Status.READY
@@ -253,12 +253,12 @@
     scope: UpdateScope
     endpoints: tuple[Endpoint, ...] = ()
     version: int = 0
-    is_continued: bool = False  # a further part of the change before it
+    is_continued: bool = False  # whether it continues the change of the update before
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request has arrived; the router owes one final answer within `time_left_ms`."""
+    """A request has arrived; one final answer is due within `time_left_ms`."""
 
     ref: int
     class_index: int
@@ -268,14 +268,14 @@
     is_write: bool = False
     is_retry: bool = False
     cost_hint: float | None = None
-    is_partial: bool = False  # the last byte is not there: `RequestCompleted` brings the real `time_left_ms`
+    is_partial: bool = False  # the last byte is missing; `RequestCompleted` has the final `time_left_ms`
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCompleted:
     """The last byte of a partial request has arrived.
 
-    Its time counts from here, and an attempt in flight begins to run now.
+    Its time counts from now on, and so does that of an attempt in flight.
     """
 
     ref: int
@@ -284,7 +284,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstByte:
-    """A streamed response has begun, which is the final answer of its request."""
+    """A streamed response has begun; it is the final answer of its request."""
 
     ref: int
     attempt: int
@@ -294,7 +294,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The result of an attempt, reported once."""
+    """An attempt has ended; this is reported once."""
 
     ref: int
     attempt: int
@@ -304,22 +304,22 @@
     cache_status: int = 0
     latency_ms: float = 0.0
     load_report: tuple[float, ...] = ()
-    malformed: bool = False  # with RESET: the response could not be read; a liveness signal all the same
-    body_consumed: bool = False  # the request body is no longer held: no retry
+    malformed: bool = False  # with RESET: the response could not be parsed; it is still a liveness signal
+    body_consumed: bool = False  # the request body is no longer held, so no retry is possible
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has disconnected; no final answer is sent."""
+    """A client has disconnected; its request gets no final answer."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class Reconfigured:
-    """New settings, for requests that arrive from now on.
+    """New settings apply to requests that arrive from now on.
 
-    Indexes of classes and tenants keep their meaning; mode, zone, origin and kind of discovery stay.
+    The indexes of classes and tenants keep their meaning; mode, zone, origin and discovery do not change.
     """
 
     settings: RouterSettings
@@ -334,7 +334,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """The result of a probe."""
+    """A probe has ended."""
 
     endpoint_id: int
     result: Result
@@ -344,7 +344,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message from another router of the fleet."""
+    """A message from another router of the fleet has arrived."""
 
     peer_id: int
     payload: bytes = b""
@@ -373,12 +373,12 @@
     ref: int
     endpoint_id: int
     stop_at: float = 0.0
-    begin_by: float = float("inf")  # not to be started later, as after a slow connect
+    begin_by: float = float("inf")  # the latest time of its first byte, as a connect may take long
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: refused; retrying is harmless."""
+    """Refuse a request as its final answer; a retry is harmless."""
 
     ref: int
     retry_after_ms: float = 0.0
@@ -387,7 +387,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; the request may have had an effect."""
+    """Fail a request as its final answer; it may have had an effect."""
 
     ref: int
     reason: EndReason = EndReason.UNSPECIFIED
@@ -403,7 +403,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Request a `TimerFired` event at or after a time."""
+    """Request a `TimerFired` event at `due_at` or later."""
 
     token: int
     due_at: float
--- a/rosepick/decisions/decide.py
+++ b/rosepick/decisions/decide.py
@@ -117,9 +117,8 @@
         self.top: OrderedDict[int, tuple[int, float, int]] = OrderedDict()
         self.tail: OrderedDict[int, tuple[int, float, int]] = OrderedDict()
         self.top_limit = INITIAL_TOP_SIZE
-        self.reads = self.attempts = self.bad_attempts = (
-            0  # reads in all; keep-pool attempts since the last control round
-        )
+        # reads in all; keep-pool attempts since the last control round
+        self.reads = self.attempts = self.bad_attempts = 0
 
     def touch(self, key: int) -> tuple[bool, int, float]:
         """Make a key the most recent; return (was in the top k', endpoint last used, share of the reads)."""
@@ -254,9 +253,7 @@
             self.reduce_limit(now)
         elif self.limit < 1.0:
             self.limit *= FETCH_GROWTH_FACTOR
-        elif (
-            self.in_flight + 1 >= int(self.limit) * 0.7
-        ):  # int as in `admits`: 1.5 would never grow otherwise
+        elif self.in_flight + 1 >= int(self.limit) * 0.7:  # int as in `admits`: 1.5 would not grow otherwise
             self.limit = min(MAX_FETCHES, self.limit + 2.0 / self.limit)
         if self.limit < 1.0:
             self.pause_end = now + min(MAX_FETCH_PAUSE_MS, self.latency_ewma * (1.0 / self.limit - 1.0))
@@ -1166,7 +1163,7 @@
 
     def _tick(self) -> None:
         self.actions.append(api.SetTimer(TICK_TIMER, self.now + 100.0))
-        self.shedder.min_limit = max(1.0, MIN_IN_FLIGHT_PER_ENDPOINT * self.pools.endpoints_each)
+        self.shedder.min_limit = max(1.0, MIN_IN_FLIGHT_PER_ENDPOINT * self.pools.endpoints_per_router)
         self._call_discovery_if_due()
         if self.now - self.last_control_at >= CONTROL_INTERVAL_MS:
             self.last_control_at = self.now
--- a/rosepick/decisions/discovery_calls.py
+++ b/rosepick/decisions/discovery_calls.py
@@ -1,9 +1,9 @@
-"""When a router calls discovery. Times are milliseconds.
+"""Decides when a router calls discovery. Times are milliseconds.
 
-The endpoint list is current only while a call is open: discovery answers it as soon as something changes. A
-router that waits between two calls goes on by a list of which it does not know whether it still holds. So the
-first call is made at once, and so is nearly the next one after a failure. Calls that go on failing are spread
-further, as turning them away costs a crowded service so much that it would answer nobody.
+The endpoint list is known to be current only while a call is open: discovery answers the call as soon as the
+list changes. A router that waits between two calls uses a list that may be out of date. So the first call is
+made at once, and the next one soon after a failure. The delay grows while calls keep failing, because
+rejecting calls is so expensive for an overloaded discovery service that it would answer none.
 """
 
 from __future__ import annotations
@@ -13,30 +13,29 @@
 
 from . import api
 
-# From a failure to the next call at most, by how many calls have failed in a row; half of it is drawn, so
-# that routers do not call in step. Within 200 ms a watch counts as continued.
+# Longest delay from a failure to the next call, by the number of consecutive failures. Half of the delay is
+# random, so that routers do not call in step. A watch that is resumed within 200 ms counts as continued.
 RETRY_DELAYS_MS = (150.0, 450.0, 900.0, 1_800.0)
 MAX_RETRY_DELAY_MS = RETRY_DELAYS_MS[-1]
-PUSHED_RETRY_DELAY_MS = RETRY_DELAYS_MS[
-    0
-]  # where lists are pushed, what the agent has counts as known at once
-FAILURES_BEFORE_LOG = 5  # in a row, before operators are told
+# Where lists are pushed, a router is expected to know at once what its agent has.
+PUSHED_RETRY_DELAY_MS = RETRY_DELAYS_MS[0]
+FAILURES_BEFORE_LOG = 5  # consecutive failures before a log line tells operators
 
 
 class DiscoveryCalls:
-    """The calls to discovery of one router, and whether it watches."""
+    """Tracks one router's calls to discovery, and whether its watch is established."""
 
     def __init__(self, settings: api.RouterSettings, rng: random.Random) -> None:
         self.settings = settings
         self.rng = rng
         self.is_subscribed = not settings.subscribe
         self.failures_in_a_row = 0
-        self._is_open = False  # a call was made that has neither been answered nor failed
+        self._is_open = False  # whether a call has neither been answered nor failed
         self._next_call_at = -inf
         self._called_at = -inf
 
     def record_list(self) -> None:
-        """Record that a list arrived from discovery, also from a watch that was not begun here."""
+        """Record that a list arrived from discovery, even if no call was made here."""
         self.is_subscribed, self._is_open, self.failures_in_a_row = True, False, 0
 
     def record_failure(self, now: float) -> float:
@@ -53,7 +52,7 @@
 
     def begin_due_call(self, now: float) -> bool:
         """Return whether to call now, and record the call."""
-        is_lost = now > self._called_at + self.settings.rules.ask_every  # an answer that never came
+        is_lost = now > self._called_at + self.settings.rules.ask_every  # its answer was lost
         if self.is_subscribed or now < self._next_call_at or (self._is_open and not is_lost):
             return False
         self._is_open, self._called_at = True, now
--- a/rosepick/decisions/endpoint_pools.py
+++ b/rosepick/decisions/endpoint_pools.py
@@ -11,18 +11,18 @@
 from .hashing import hash_to_unit
 from .rendezvous import RendezvousTable
 
-MIN_SAMPLES = 40  # fewer responses than this say nothing: a router may see few a second
-INITIAL_KEEP_SHARE = 0.3  # keep pool's share of the home endpoints before this router's mix is known ...
-KEEP_PRIOR_READS = 8.0  # ... which counts as much as so many reads ...
-KEEP_MEMORY_READS = 1_000.0  # ... and is learned over so many
-HOT_KEY_SHARE = 0.25  # of a home endpoint's even share of the reads: a key with more gets more holders
-WIDE_SHARE_DECAY = 0.015  # decay of the wide share in a calm round: moving keys back costs fetches
-SHORTAGE_SHARE = 0.3  # share of reads short of capacity that counts as a shortage
+MIN_SAMPLES = 40  # responses needed before a control loop acts; a router may see few a second
+INITIAL_KEEP_SHARE = 0.3  # keep pool's share of the home endpoints before this router's reads are known
+KEEP_PRIOR_READS = 8.0  # the initial share counts as much as this number of reads
+KEEP_MEMORY_READS = 1_000.0  # the share is a mean over about this number of reads
+HOT_KEY_SHARE = 0.25  # of one home endpoint's even share of the reads: a key with more gets further holders
+WIDE_SHARE_DECAY = 0.015  # decrease of the wide share in a calm control round: moving keys back costs fetches
+SHORTAGE_SHARE = 0.3  # a shortage begins when more than this share of the reads is short of capacity
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a ready endpoint belongs."""
+    """The pool and zone to which a ready endpoint belongs."""
 
     server: EndpointState
     is_origin: bool
@@ -31,7 +31,7 @@
 
 
 class EndpointPools:
-    """Keep and overflow pools of the home zone, the slot tables, and how far overflow reaches beyond."""
+    """The keep and overflow pools of the home zone, and the share of overflow slots placed fleet-wide."""
 
     def __init__(self, settings: api.RouterSettings, endpoints: EndpointList) -> None:
         self.settings = settings
@@ -40,18 +40,19 @@
         self.home_table = RendezvousTable(settings.sized_weights)
         self.fleet_table = RendezvousTable(settings.sized_weights)
         self._placements: dict[int, Placement] = {}
-        self.keep_share, self.keep_reads = INITIAL_KEEP_SHARE, KEEP_PRIOR_READS  # reads of top-k' keys
+        # learned from the reads of top-k' keys
+        self.keep_share, self.keep_reads = INITIAL_KEEP_SHARE, KEEP_PRIOR_READS
         self.wide_share = 0.0
         self.reads = self.short_reads = 0
 
     @property
     def home_zone(self) -> list[EndpointState]:
-        """The cache nodes of this router's zone, or all if it has none, by hashed id."""
+        """Return the cache nodes of this router's zone, or all if it has none, ordered by hashed id."""
         return self._home().members
 
     @property
-    def endpoints_each(self) -> float:
-        """Cache nodes for each router."""
+    def endpoints_per_router(self) -> float:
+        """Return the number of cache nodes per router."""
         return len(self.fleet_table.members) / self.settings.routers
 
     def _home(self) -> RendezvousTable:
@@ -66,7 +67,7 @@
         self.update(self.endpoints.states.values())
 
     def update(self, changed: Iterable[EndpointState]) -> None:
-        """Follow a change of the endpoint list, given the endpoints that it touches."""
+        """Apply a change of the endpoint list, given the endpoints that it touches."""
         for server in changed:
             before = self._placements.get(server.id)
             after = self._placement_of(server)
@@ -78,7 +79,7 @@
                 self._add(after)
 
     def _placement_of(self, server: EndpointState) -> Placement | None:
-        """Return where an endpoint belongs; None if it is not ready."""
+        """Return the placement of an endpoint; None if it is not ready."""
         if server.status is not Status.READY:
             return None
         endpoint = server.endpoint
@@ -109,17 +110,17 @@
 
     def record_read(self, in_keep_pool: bool) -> None:
         """Record one read; the keep pool's share of the endpoints follows its share of the reads."""
-        # Otherwise many routers that each see too little to know a popular key overload the overflow pool.
+        # A fixed share would overload the overflow pool where routers see too few reads to find popular keys.
         self.keep_reads = min(KEEP_MEMORY_READS, self.keep_reads + 1.0)
         self.keep_share += (in_keep_pool - self.keep_share) / self.keep_reads
 
     def keep_pool_size(self) -> int:
-        """Return how many home endpoints are the keep pool; neither pool is empty if there are two."""
+        """Return the number of home endpoints in the keep pool; with two or more, neither pool is empty."""
         size = len(self.home_zone)
         return size if size < 2 else min(size - 1, max(1, round(size * self.keep_share)))
 
     def holder_count(self, read_share: float) -> int:
-        """Return how many endpoints hold a key with this share of the reads: a hot key needs several."""
+        """Return how many endpoints hold a key with this share of the reads; a hot key has several."""
         return 1 + int(read_share * len(self.home_zone) / HOT_KEY_SHARE)
 
     def candidates(self, slot: int, in_keep_pool: bool, fleet_wide: bool) -> Iterator[EndpointState]:
@@ -135,11 +136,11 @@
                 yield server
 
     def is_wide(self, slot: int) -> bool:
-        """Return whether an overflow slot is placed fleet-wide at present."""
+        """Return whether an overflow slot is placed fleet-wide now."""
         return self.wide_share > 0 and hash_to_unit(slot ^ 0x5EED) < self.wide_share
 
     def adjust_wide_share(self, origin_overloaded: bool) -> None:
-        """Place overflow beyond the home zone while that zone, or the origin, is short."""
+        """Place overflow slots fleet-wide while the home zone or the origin is short of capacity."""
         has_samples = self.reads >= MIN_SAMPLES
         if origin_overloaded or (has_samples and self.short_reads > SHORTAGE_SHARE * self.reads):
             self.wide_share = 1.0
--- a/rosepick/decisions/endpoint_state.py
+++ b/rosepick/decisions/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a router knows of each endpoint: its status, health, load and warm-up, from its own observations.
+"""The status, health, load and warm-up of each endpoint, from one router's own observations.
 
 Times are milliseconds.
 """
@@ -14,18 +14,19 @@
 from .hashing import hash64
 
 EWMA_WEIGHT = 0.15  # weight of a new latency sample
-LATENCY_MEMORY_MS = 3_000.0  # a slow endpoint that gets nothing is assumed to recover over this time
+LATENCY_RECOVERY_MS = 3_000.0  # without new responses, a slow endpoint is assumed to recover over this time
 REPORT_WEIGHT = 0.25  # weight of a new load report
-REPORT_MEMORY_MS = 3_000.0  # a load report fades over this time
-MAX_REPORT_FACTOR = 1.3  # times the latency of recent responses: load reports alone raise it no further
+REPORT_DECAY_MS = 3_000.0  # time constant of the decay of a load report
+MAX_REPORT_FACTOR = 1.3  # load reports alone raise the expected latency to this multiple of recent responses
 EJECT_AFTER_FAILURES = 3  # consecutive failures with no liveness signal before an endpoint is ejected
-PROBE_DELAY_MS = 400.0  # first probe of an ejected endpoint, doubled up to ...
-MAX_DEPARTED = 4_096  # endpoints that have left and whose starts are kept, to know them when they return
-RESTART_AFTER_MS = 3_000.0  # silent for longer with no subscription: it may have restarted, so it warms up
-START_CONCURRENCY = 9.0  # initial in-flight limit of one endpoint, divided among all routers ...
-MIN_START_CONCURRENCY = 1.5  # ... at least this each; many routers could fill every queue before a response
+PROBE_DELAY_MS = 400.0  # delay of the first probe of an ejected endpoint; it doubles with each probe
+MAX_DEPARTED = 4_096  # endpoints that have left whose start times are kept, to recognize them on their return
+# An endpoint that was silent for longer may have restarted, unless a subscription reports that: it warms up.
+ASSUME_RESTART_AFTER_MS = 3_000.0
+START_CONCURRENCY = 9.0  # initial concurrency limit of one endpoint, divided among all routers
+MIN_START_CONCURRENCY = 1.5  # least initial limit of one router; more could fill all queues before a response
 MIN_CONCURRENCY = 1.0
-CONCURRENCY_CUT_FACTOR = 0.7  # after a response slower than SLOW_SHARE of its objective; good ones raise it
+CONCURRENCY_CUT_FACTOR = 0.7  # factor on the limit after a slow response; good responses raise it
 
 
 class EndpointState:
@@ -37,10 +38,11 @@
         self.status = endpoint.status
         self.warmup_start = self.warmup_end = float("-inf")
         self.cold_capacity = 1.0
-        self.order_key = hash64(endpoint.endpoint_id), endpoint.endpoint_id  # by which pools are divided
+        # the order by which the home zone is divided into pools
+        self.order_key = hash64(endpoint.endpoint_id), endpoint.endpoint_id
         self.in_flight = 0
-        self.other_load = 0.0  # requests of other routers, from the last report
-        self.latency_ewma = self.load_ewma = 0.0  # 0: never responded; and the load at that time
+        self.other_load = 0.0  # requests of other routers, smoothed over load reports
+        self.latency_ewma = self.load_ewma = 0.0  # 0 if it has never responded
         self.concurrency_limit = limit
         self.other_load_at = self.latency_at = self.last_cut_at = self.ejected_at = self.probe_at = now
         self.last_response_at = float("-inf")
@@ -49,15 +51,15 @@
         self.window_sends = 0  # in the window of `WarmTraffic`
 
     def load(self, now: float) -> float:
-        """Return the requests it holds: this router's, and others' from a fading report."""
+        """Return the requests that it holds: this router's, and those of others by decaying load reports."""
         if self.other_load:
-            return self.in_flight + self.other_load * exp((self.other_load_at - now) / REPORT_MEMORY_MS)
+            return self.in_flight + self.other_load * exp((self.other_load_at - now) / REPORT_DECAY_MS)
         return float(self.in_flight)
 
     def record_load_report(self, now: float, in_flight: float) -> None:
-        """Smooth a load report, which is old when it comes: only what lasts over several counts."""
+        """Smooth a load report; it is out of date on arrival, so only load that lasts counts."""
         reported = max(0.0, in_flight - self.in_flight)
-        previous = self.other_load * exp((self.other_load_at - now) / REPORT_MEMORY_MS)
+        previous = self.other_load * exp((self.other_load_at - now) / REPORT_DECAY_MS)
         self.other_load = previous + (reported - previous) * REPORT_WEIGHT
         self.other_load_at = now
 
@@ -70,7 +72,7 @@
         self.latency_at = now
 
     def adjust_concurrency_limit(self, now: float, latency_ms: float, is_slow: bool) -> None:
-        """Adapt the in-flight limit: all routers back off from queues that none sees by itself."""
+        """Adapt the concurrency limit: all routers back off from a queue that none of them sees alone."""
         if not is_slow:
             if self.in_flight + 1 >= self.concurrency_limit * 0.5:
                 self.concurrency_limit += 1.0 / self.concurrency_limit
@@ -80,18 +82,20 @@
 
     def expected_latency(self, now: float, service_time: float) -> float:
         """Return the expected latency, in ms, of an attempt sent now."""
-        # a ratio of two means: a mean of ratios would be dominated by responses under little load
+        # a ratio of two means, as a mean of ratios would be dominated by responses at low load
         own_ms = self.latency_ewma / (1.0 + self.load_ewma) if self.latency_ewma else service_time
         if own_ms > service_time:
-            own_ms = service_time + (own_ms - service_time) * exp((self.latency_at - now) / LATENCY_MEMORY_MS)
+            own_ms = service_time + (own_ms - service_time) * exp(
+                (self.latency_at - now) / LATENCY_RECOVERY_MS
+            )
         expected_ms = own_ms * (1.0 + self.load(now))
         if not self.in_flight and self.latency_ewma:
-            # otherwise routers may refuse by reports of others' load alone, while endpoints idle
+            # otherwise reports of others' load alone could cause refusals while endpoints are idle
             expected_ms = min(expected_ms, MAX_REPORT_FACTOR * own_ms * (1.0 + self.load_ewma))
         return expected_ms / self.min_warm_share(now)
 
     def min_warm_share(self, now: float) -> float:
-        """Return the least share of its capacity that it has now, by the rules' warm-up."""
+        """Return the least share of its full capacity that it has now, by the warm-up rules."""
         if now >= self.warmup_end:
             return 1.0
         progress = max(0.0, (now - self.warmup_start) / max(1e-9, self.warmup_end - self.warmup_start))
@@ -115,13 +119,17 @@
         return is_ejecting
 
     def record_success(self, now: float, rules: api.RoutingRules, is_subscribed: bool) -> None:
-        """Record a liveness signal: an ejected endpoint gets slots again, slowly if it may have restarted."""
+        """Record a liveness signal: an ejected endpoint returns, with a warm-up if it may have restarted."""
         self.last_response_at, self.consecutive_failures = now, 0
         if self.ejected:
             self.ejected = False
             self.latency_ewma = 0.0
-            # A subscription reports restarts: after a broken link is back, not all remote endpoints are cold.
-            if not is_subscribed and now - self.ejected_at > RESTART_AFTER_MS and self.warmup_end < now:
+            # A subscription reports restarts, so endpoints behind a network partition do not all return cold.
+            if (
+                not is_subscribed
+                and now - self.ejected_at > ASSUME_RESTART_AFTER_MS
+                and self.warmup_end < now
+            ):
                 self.start_warmup(now, rules)
 
 
@@ -132,20 +140,20 @@
         self.settings = settings
         self.calls = DiscoveryCalls(settings, rng)
         self.states: dict[int, EndpointState] = {}
-        self._listed_at: float | None = None  # when the latest list came from discovery ...
-        self._previous_list_at: float | None = None  # ... and the one before
+        self._listed_at: float | None = None  # when the latest list came from discovery
+        self._previous_list_at: float | None = None  # when the list before it came
         self._removed: dict[int, EndpointState] = {}  # still known, as they have attempts in flight
         self._departed: dict[int, float] = {}  # starts of endpoints that have left, oldest first
 
     def apply(self, now: float, update: api.EndpointUpdate) -> list[EndpointState]:
-        """Apply a list or changes of it, from discovery or the configuration; return what it touches."""
+        """Apply a list or changes of it, from discovery or configuration; return the changed endpoints."""
         if update.scope is not UpdateScope.CACHED:
             self.calls.record_list()
         if not update.is_continued:
             self._previous_list_at = self._listed_at
         if update.scope is not UpdateScope.CACHED:
             self._listed_at = now
-        rows = [entry for entry in update.endpoints if not self._is_as_it_was(entry)]
+        rows = [entry for entry in update.endpoints if not self._is_unchanged(entry)]
         changed = [self._apply_endpoint(now, entry) for entry in rows]
         if update.scope is not UpdateScope.DELTA:
             listed_ids = {entry.endpoint_id for entry in update.endpoints}
@@ -156,7 +164,7 @@
         self._forget_removed(changed)
         return changed
 
-    def _is_as_it_was(self, endpoint: api.Endpoint) -> bool:
+    def _is_unchanged(self, endpoint: api.Endpoint) -> bool:
         server = self.states.get(endpoint.endpoint_id)
         return server is not None and server.endpoint is endpoint and server.status is endpoint.status
 
@@ -183,9 +191,9 @@
             self._start_warmup_if_cold(now, server, self._departed.pop(endpoint.endpoint_id, None))
             return server
         previous, server.endpoint, server.status = server.endpoint, endpoint, endpoint.status
-        # a clock may have been stepped back between two starts, so that the later start has the earlier time
+        # not only a greater time: the machine's clock may have been set back between two starts
         if endpoint.started_at and endpoint.started_at != previous.started_at:
-            # a restart: cold from then on; the old process's latency says nothing
+            # a restart: it is cold from then on, and the old process's latency does not apply
             started_at = self._start_warmup_if_cold(now, server, previous.started_at)
             server.latency_ewma = 0.0
             if server.ejected and started_at > server.ejected_at - self.settings.rules.ask_every:
@@ -195,14 +203,15 @@
     def _start_warmup_if_cold(self, now: float, server: EndpointState, listed_start: float | None) -> float:
         """Begin the warm-up of an endpoint that is new in the list or has restarted; return when it started.
 
-        Its age by the wall clocks of two machines, which may both be wrong, may lengthen a warm-up, but it
-        does not shorten one below what this router has seen: what the previous list did not have, or had with
-        another start, has started since, or soon before. Only of the first list nothing else is known.
+        The age of an endpoint comes from the wall clocks of two machines, and both may be wrong. It may
+        lengthen a warm-up, but not shorten one below what this router has seen: an endpoint that the previous
+        list did not have, or had with another start, has started since that list or shortly before. For the
+        first list the clocks are the only source.
 
         Args:
             now: the time, in ms.
             server: the endpoint.
-            listed_start: its start as it was listed before; None if it never was.
+            listed_start: its start as last listed; None if it was never listed.
         """
         listed = server.endpoint.started_at
         started_at = min(listed, now)
--- a/rosepick/decisions/hashing.py
+++ b/rosepick/decisions/hashing.py
@@ -1,4 +1,4 @@
-"""A fixed 64-bit hash: the same in every process, unlike hash()."""
+"""A 64-bit hash that is the same in every process, unlike hash()."""
 
 from __future__ import annotations
 
--- a/rosepick/decisions/permissions.py
+++ b/rosepick/decisions/permissions.py
@@ -1,9 +1,10 @@
-"""The one place that decides whether something may be sent, repeated, closed or started now.
+"""The permissions: the only place that decides whether a send, repeat, close or start may happen now.
 
-Every path asks here right before it acts, with facts of that very moment: the decision module before it
-chooses a send, the engine before it carries it out, a connection before the first byte of an attempt. What
-was allowed earlier says nothing: the client may have left, the endpoint may drain and time passes in between.
-Each function returns None, or the reason why not. Times are milliseconds of the router's monotonic clock.
+Every path checks here right before it acts, with the facts of that moment: the decision module before it
+chooses a send, the engine before it carries out the send, and a connection before the first byte of an
+attempt. An earlier permission does not count: in between, the client may have left, the endpoint may have
+begun to drain and time has passed. Each function returns None if the action is permitted, and otherwise the
+denial. Times are milliseconds of the router's monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,32 +15,32 @@
 
 from .api import Effect, Group, RequestClass, Status
 
-# A router may be held up for so long between reading its clock and writing. What has to end in time ends this
-# much earlier.
+# The longest expected delay between reading the clock and writing. Whatever must end in time ends this much
+# earlier.
 MAX_HOLD_UP_MS = 150.0
-REPEAT_WINDOW_MARGIN = 0.1  # of a repeat window at least, left for the network
+REPEAT_WINDOW_MARGIN = 0.1  # least share of a repeat window that is left for the network
 
-# How long a request may have waited before it was read, as a share of the time that its client gives it, in a
-# router that has not been idle for some time: it will not catch up by itself, and serving a request takes
-# several steps more, each as late as the first.
+# The longest time that a request may have waited before it was read, as a share of the time that its client
+# gives it. It applies to a busy router, which does not catch up by itself: serving the request takes several
+# further steps, each as late as the first.
 MAX_READ_LATE_SHARE = 0.0625
-BUSY_AFTER_MS = 100.0
+BUSY_AFTER_MS = 100.0  # a router that has not been idle for longer is busy
 
-# A process that starts waits for a list, as the one that it is configured with may be old: this long while
-# discovery responds without giving one, ...
+# A process that starts waits for a list, as the configured one may be out of date. This is the longest wait
+# while discovery responds without a list.
 MAX_START_WAIT_MS = 5_000.0
-# ... and this long while it cannot be reached, as nobody learns of a change then.
+# The longest wait while discovery cannot be reached: then no router learns of a change.
 UNREACHABLE_START_WAIT_MS = 1_000.0
 
 
 class Denial(Enum):
-    """Why something may not happen now; the values are words of the log."""
+    """The reason that an action is not permitted now; the values are written to the log."""
 
     REQUEST_FINISHED = "request_finished"  # it has its final answer, or its client has left
     DEADLINE_PASSED = "deadline_passed"
     ATTEMPTS_USED = "attempts_used"
     ATTEMPT_IN_FLIGHT = "attempt_in_flight"
-    ENDPOINT_NOT_READY = "endpoint_not_ready"  # it drains, has left or was never listed
+    ENDPOINT_NOT_READY = "endpoint_not_ready"  # it is draining, has left or was never listed
     COLD_BUDGET_USED = "cold_budget_used"
     MAY_HAVE_RUN = "may_have_run"  # a repeat could take effect twice
     REPEAT_WINDOW_ENDED = "repeat_window_ended"
@@ -48,24 +49,24 @@
     BODY_CONSUMED = "body_consumed"
     PREDECESSOR_SERVES = "predecessor_serves"
     LIST_UNCONFIRMED = "list_unconfirmed"
-    READ_LATE = "read_late"  # it has waited for too long before it was read
+    READ_LATE = "read_late"  # the request had waited too long before it was read
 
 
 @dataclass(frozen=True, slots=True)
 class RepeatFacts:
-    """What matters for sending a request again of which an attempt may have run."""
+    """The facts for repeating a request of which an attempt may have run."""
 
     request_class: RequestClass
     first_unsafe_sent_at: float
-    same_zone: bool  # as that attempt
+    same_zone: bool  # as the first attempt that may have run
     same_cell: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SendFacts:
-    """What matters for beginning an attempt.
+    """The facts for beginning an attempt.
 
-    `repeat` is None if no earlier attempt may have run, or if whoever asks does not know.
+    `repeat` is None if no earlier attempt may have run, or if the caller does not know.
     """
 
     now: float
@@ -82,44 +83,44 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteFacts:
-    """What matters for writing the first byte of an attempt that was allowed before."""
+    """The facts for writing the first byte of an attempt that was permitted before."""
 
     now: float
     is_finished: bool
     stop_at: float
     begin_by: float  # infinite if the attempt is no repeat
-    endpoint_status: Status | None  # as discovery has notified it so far
+    endpoint_status: Status | None  # as last notified by discovery
     is_body_consumed: bool  # by an earlier attempt, so that it cannot be sent again
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptFacts:
-    """What matters for accepting a request that was read."""
+    """The facts for accepting a request that was read."""
 
     read_late_ms: float  # how long it may have waited before it was read
     time_left_ms: float  # to its deadline
-    busy_ms: float  # since the router was idle last
+    busy_ms: float  # time since the router was last idle
 
 
 @dataclass(frozen=True, slots=True)
 class CloseFacts:
-    """What matters for closing a client's connection."""
+    """The facts for closing a client's connection."""
 
-    at_own_will: bool  # not because the client has left, stopped, or has an answer that cannot be completed
+    at_own_will: bool  # not because the client has left or stalled, or because its answer cannot be completed
     owes_answer: bool
-    expects_request: bool  # so new, or so recently used, that a request may be on the way
+    expects_request: bool  # new or recently used, so that a request may be on its way
 
 
 @dataclass(frozen=True, slots=True)
 class StartFacts:
-    """What matters for accepting the first client."""
+    """The facts for accepting the first client."""
 
     waited_ms: float
     list_received: bool  # from discovery, since the start
     discovery_reachable: bool
-    predecessor_serves: bool  # another process of this router that was there at the start
-    state_settled: bool  # the predecessor's state was imported, or is not to be had
-    shares_socket: bool  # with other processes: it takes connections whether or not this one serves
+    predecessor_serves: bool  # another process of this router, running at the start, still serves
+    state_settled: bool  # the predecessor's state was imported or is not available
+    shares_socket: bool  # with other processes: the socket takes connections whether or not this one serves
 
 
 def check_send(facts: SendFacts) -> Denial | None:
@@ -131,7 +132,7 @@
     if facts.attempts_made >= facts.max_attempts:
         return Denial.ATTEMPTS_USED
     if facts.endpoint_status is not Status.READY:
-        return Denial.ENDPOINT_NOT_READY  # at once, not at the end of the grace
+        return Denial.ENDPOINT_NOT_READY  # at once, without waiting for the end of the drain's grace period
     if not facts.has_cold_budget:
         return Denial.COLD_BUDGET_USED
     if facts.attempts_in_flight > (1 if facts.allow_hedging else 0):
@@ -153,7 +154,7 @@
 
 
 def repeat_until(request_class: RequestClass, first_unsafe_sent_at: float | None) -> float:
-    """Return until when a request may be sent again; infinite if no attempt of it may have run."""
+    """Return the time until which a request may be sent again; infinite if no attempt may have run."""
     if first_unsafe_sent_at is None or request_class.effect is Effect.RETRYABLE:
         return inf
     if request_class.effect is Effect.FRAGILE:
@@ -176,7 +177,7 @@
 
 
 def check_accept(facts: AcceptFacts) -> Denial | None:
-    """Return why a request is refused before anything is done for it; None if it is accepted."""
+    """Return why a request is refused before any work is done for it; None if it is accepted."""
     if facts.time_left_ms <= 0:
         return Denial.DEADLINE_PASSED
     time_given_ms = facts.read_late_ms + facts.time_left_ms
--- a/rosepick/decisions/rendezvous.py
+++ b/rosepick/decisions/rendezvous.py
@@ -1,12 +1,12 @@
-"""The order of a set of endpoints for each slot, in which nothing costs work of the set's size.
-
-Weighted rendezvous hashing gives each endpoint an exponentially distributed distance for each slot, and a
-slot to the nearest. Only the nearest few are ever asked for. So each endpoint has a sequence of points, in
-ascending distance, each at a slot that is drawn by its hash; of the sequence only what lies below a bound is
-kept, which is chosen so that a slot has about `POINTS_PER_SLOT` points however many endpoints there are. What
-an endpoint brings in or takes away is its own points, a part of the whole like its part of the weight. The
-nearest endpoints of a slot do not depend on the bound, and so not on what a router has seen before, but for
-the few slots that have no point below it.
+"""The rendezvous order of endpoints for each slot; no operation costs work in proportion to their number.
+
+Weighted rendezvous hashing gives each endpoint an exponentially distributed distance to each slot, and
+assigns a slot to the nearest endpoint. Only the nearest few are ever needed. So each endpoint has a sequence
+of points in ascending distance, each at a slot that is drawn from its hash, and only the points below a
+bound are kept. The bound is chosen so that a slot has about `POINTS_PER_SLOT` points, whatever the number of
+endpoints. Adding or removing an endpoint changes only its own points, whose share of all points is its share
+of the weight. The nearest endpoints of a slot depend neither on the bound nor on what a router has seen
+before, except for the few slots that have no point below the bound.
 """
 
 from __future__ import annotations
@@ -22,26 +22,28 @@
 from .endpoint_state import EndpointState
 from .hashing import MASK_64, hash64
 
-SLOT_COUNT = 4_096  # many slots for each endpoint, so that a pool's slots divide evenly
+SLOT_COUNT = 4_096  # many slots for each endpoint, so that a pool's slots are divided evenly
 BLOCK_SLOTS = 128  # slots whose orders are built together, when the first of them is used
-POINTS_PER_SLOT = 8.0  # mean number at most; a power of two less at least
-MIN_POINTS_PER_SLOT = 3.5  # a bound that gives fewer, or more than ...
-MAX_POINTS_PER_SLOT = 10.0  # ... so many, is chosen anew
-MAX_SLOTS_SEARCHED = 16  # whose points are looked at, one after another, for one request
-SLOT_STRIDE = 37  # from one of them to the next
-MAX_SAMPLED = 64  # endpoints that are looked at beyond, where none of those points serves
-MIN_CHANGES_KEPT = 256  # for blocks that are not used; more, and more than members, are not worth it
+POINTS_PER_SLOT = 8.0  # a bound is chosen for at most this mean number of points, and at least half of it
+MIN_POINTS_PER_SLOT = 3.5  # a new bound is chosen when the mean falls below this
+MAX_POINTS_PER_SLOT = 10.0  # a new bound is chosen when the mean rises above this
+MAX_SLOTS_SEARCHED = 16  # slots whose points are tried in turn for one request
+SLOT_STRIDE = 37  # distance from one of those slots to the next
+MAX_SAMPLED = 64  # further endpoints that are tried if none of those points is usable
+# Changes kept for blocks that are not in use. If there are more, and more than members, rebuilding costs
+# no more.
+MIN_CHANGES_KEPT = 256
 MIN_WEIGHT = 1e-3
-OFFSET_BITS = 8  # of a hash, from which a slot is drawn; the others become a number from 0 to 1
-UNIT = 1.0 / (1 << (64 - OFFSET_BITS))
-FIRST_MULTIPLIER, SECOND_MULTIPLIER = 0xBF58476D1CE4E5B9, 0x94D049BB133111EB  # of splitmix64
-NEXT_DRAWS = 1 << 64  # is added to what is hashed, for further draws
-_DRAWS = struct.Struct(">8Q").unpack  # a hash of 64 bytes is eight draws
+OFFSET_BITS = 8  # bits of a draw that select the slot; the other bits are a number from 0 to 1
+UNIT_SCALE = 1.0 / (1 << (64 - OFFSET_BITS))
+FIRST_MULTIPLIER, SECOND_MULTIPLIER = 0xBF58476D1CE4E5B9, 0x94D049BB133111EB  # as in splitmix64
+NEXT_DRAWS_STEP = 1 << 64  # added to the hashed number to get the next eight draws
+_unpack_draws = struct.Struct(">8Q").unpack  # a hash of 64 bytes is eight draws
 
 
 @dataclass(slots=True)
 class SlotOrder:
-    """The points of one slot, the nearest first; an endpoint is there once."""
+    """The points of one slot, nearest first; each endpoint occurs once."""
 
     distances: array[float] = field(default_factory=lambda: array("d"))
     servers: list[EndpointState] = field(default_factory=list)
@@ -49,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """An endpoint that was added or removed, with the weight that its points are drawn by."""
+    """An endpoint that was added or removed, with the weight by which its points are drawn."""
 
     server: EndpointState
     weight: float
@@ -58,24 +60,24 @@
 
 @dataclass(slots=True)
 class SlotBlock:
-    """The orders of some slots that follow each other."""
+    """The orders of `BLOCK_SLOTS` consecutive slots."""
 
     orders: list[SlotOrder]
-    applied_count: int  # changes of the table that they include
+    applied_count: int  # number of the table's changes that they include
 
 
 class RendezvousTable:
-    """A set of endpoints in rendezvous order for each slot: by id and, if `weighted`, by weight."""
+    """Orders a set of endpoints for each slot by rendezvous hashing of ids and, if `weighted`, weights."""
 
     def __init__(self, weighted: bool) -> None:
         self.weighted = weighted
-        self.members: list[EndpointState] = []  # by `EndpointState.order_key`
-        self._keys: list[tuple[int, int]] = []  # of the members
-        self._weights: dict[int, float] = {}  # by endpoint id, as the points were drawn
+        self.members: list[EndpointState] = []  # sorted by `EndpointState.order_key`
+        self._keys: list[tuple[int, int]] = []  # the members' keys, for bisection
+        self._weights: dict[int, float] = {}  # by endpoint id, as used for the points
         self._total_weight = 0.0
         self._bound = 0.0  # distance up to which points are kept
         self._blocks: dict[int, SlotBlock] = {}
-        # a block applies changes when it is used next, so that a list of many changes takes no time by itself
+        # a block applies changes at its next use, so that a list with many changes takes little time
         self._changes: list[MemberChange] = []
 
     def add(self, server: EndpointState) -> None:
@@ -103,23 +105,23 @@
         self._keys = []
         self._weights = {}
         self._total_weight = 0.0
-        self._forget_blocks()
+        self._drop_blocks()
         for server in servers:
             self.add(server)
 
     def _record_change(self, change: MemberChange) -> None:
-        """Record a change for the blocks; forget them if building them anew costs no more."""
-        if self._rebound() or len(self._changes) > max(MIN_CHANGES_KEPT, len(self.members)):
-            self._forget_blocks()
+        """Record a change for the blocks, or drop the blocks if rebuilding them costs no more."""
+        if self._adjust_bound() or len(self._changes) > max(MIN_CHANGES_KEPT, len(self.members)):
+            self._drop_blocks()
         elif self._blocks:
             self._changes.append(change)
 
-    def _forget_blocks(self) -> None:
+    def _drop_blocks(self) -> None:
         self._blocks = {}
         self._changes = []
 
     def order_for(self, slot: int) -> Iterator[EndpointState]:
-        """Yield endpoints for a slot, its holder first: a bounded number, and all of a small set."""
+        """Yield a bounded number of endpoints for a slot, its holder first, and all of a small set."""
         block = self._block(slot // BLOCK_SLOTS).orders
         offset = slot % BLOCK_SLOTS
         nearest = block[offset].servers
@@ -136,8 +138,8 @@
             if server not in seen:
                 yield server
 
-    def _rebound(self) -> bool:
-        """Choose the bound anew if it gives too few or too many points; return whether it did."""
+    def _adjust_bound(self) -> bool:
+        """Choose a new bound if this one gives too few or too many points; return whether it changed."""
         points = self._bound * self._total_weight
         if MIN_POINTS_PER_SLOT <= points <= MAX_POINTS_PER_SLOT:
             return False
@@ -171,7 +173,7 @@
         least_draws = {weight: self._least_draw(weight) for weight in set(weights.values())}
         for server in self.members:
             weight = weights[server.id]
-            # in a large set most endpoints have no point in a block: one draw shows it
+            # in a large set most endpoints have no point in a block, which their first draw shows
             if _first_draw(server.order_key[0], block_key) >= least_draws[weight]:
                 for distance, offset in self._points(server, weight, number):
                     rows.append((distance, offset, server))
@@ -185,7 +187,7 @@
 
     def _least_draw(self, weight: float) -> int:
         """Return the least first draw by which an endpoint of this weight has a point in a block."""
-        return int(exp(-self._bound * weight * BLOCK_SLOTS) / UNIT) << OFFSET_BITS
+        return int(exp(-self._bound * weight * BLOCK_SLOTS) / UNIT_SCALE) << OFFSET_BITS
 
     def _points(self, server: EndpointState, weight: float, block: int) -> list[tuple[float, int]]:
         """Return an endpoint's points in a block below the bound: distance and offset of the slot."""
@@ -197,12 +199,12 @@
         draws: tuple[int, ...] = (_first_draw(server.order_key[0], hash64(block)),)
         while True:
             for drawn in draws:
-                distance -= log((drawn >> OFFSET_BITS) * UNIT + UNIT)
+                distance -= log((drawn >> OFFSET_BITS) * UNIT_SCALE + UNIT_SCALE)
                 if distance > bound:
                     return points
                 points.append((distance / rate, drawn % BLOCK_SLOTS))
-            draws = _DRAWS(blake2b(number.to_bytes(16, "big"), digest_size=64).digest())
-            number += NEXT_DRAWS
+            draws = _unpack_draws(blake2b(number.to_bytes(16, "big"), digest_size=64).digest())
+            number += NEXT_DRAWS_STEP
 
 
 def _first_draw(endpoint_key: int, block_key: int) -> int:
@@ -217,7 +219,7 @@
 
 
 def _insert(order: SlotOrder, distance: float, server: EndpointState) -> None:
-    if server not in order.servers:  # a nearer point of it is there already
+    if server not in order.servers:  # otherwise a nearer point of it is there already
         at = bisect(order.distances, distance)
         order.distances.insert(at, distance)
         order.servers.insert(at, server)
--- a/rosepick/decisions/warm_traffic.py
+++ b/rosepick/decisions/warm_traffic.py
@@ -1,6 +1,6 @@
-"""How many sends warm cache nodes get, by zone: what a cold one may get follows from it (rule 4).
+"""Counts the sends to warm cache nodes by zone; the budget of a cold node follows from them (rule 4).
 
-The counts are kept as they change, so that asking for them costs nothing of the fleet's size. Times are
+The counts are updated with each change, so that reading them costs the same in any fleet. Times are
 milliseconds.
 """
 
@@ -16,24 +16,24 @@
 
 @dataclass(slots=True)
 class ZoneTraffic:
-    """The warm cache nodes of a zone, or of all."""
+    """The warm cache nodes of a zone or of the whole fleet, and the sends to them."""
 
     nodes: int = 0
     weight: float = 0.0
-    sends: int = 0  # to them in the window
+    sends: int = 0  # in the window
 
     def add(self, weight: float, sends: int, sign: int) -> None:
-        """Add (1) or take away (-1) a node with its sends."""
+        """Add (`sign` 1) or remove (`sign` -1) a node with its sends."""
         self.nodes += sign
         self.weight += sign * weight
         self.sends += sign * sends
 
 
 class WarmTraffic:
-    """Sends to warm cache nodes in a window of time.
+    """Counts sends to warm cache nodes in a sliding window of time.
 
     Args:
-        is_warm: whether an endpoint is a warm cache node at a time.
+        is_warm: returns whether an endpoint is a warm cache node at a time in ms.
     """
 
     def __init__(self, is_warm: Callable[[EndpointState, float], bool]) -> None:
@@ -41,7 +41,8 @@
         self._is_warm = is_warm
         self._zones: dict[int, ZoneTraffic] = {}
         self._sends: deque[tuple[float, EndpointState]] = deque()
-        self._counted: dict[EndpointState, tuple[int, float]] = {}  # zone and weight, as they were counted
+        # the zone and weight with which each warm node is counted
+        self._counted: dict[EndpointState, tuple[int, float]] = {}
         self._warmup_ends: list[tuple[float, int, EndpointState]] = []  # a heap; the number breaks ties
         self._update_count = 0
 
@@ -57,7 +58,12 @@
         self._count_sends(server, 1)
 
     def update(self, server: EndpointState, now: float) -> None:
-        """Count an endpoint whose status, health, warm-up, zone or weight may have changed."""
+        """Update the counts for an endpoint whose status, health, warm-up, zone or weight may have changed.
+
+        Args:
+            server: the endpoint.
+            now: the present time, in ms.
+        """
         endpoint = server.endpoint
         before = self._counted.get(server)
         after = (endpoint.zone, endpoint.weight) if self._is_warm(server, now) else None
@@ -76,7 +82,7 @@
             self._counted[server] = after
 
     def advance(self, now: float, window_ms: float) -> None:
-        """Forget sends older than the window, and count what has become warm."""
+        """Drop sends that are older than the window, and count nodes that have become warm."""
         while self._sends and self._sends[0][0] <= now - window_ms:
             server = self._sends.popleft()[1]
             server.window_sends -= 1
