--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -1,11 +1,12 @@
-"""A fleet of routers and one node that starts cold: what all of them send it, against what it bears.
+"""Simulates a fleet of routers and one cold node: the sends of all routers against the node's budget.
 
     python -m tests.cold_fleet 1..200
 
-The decisions play by themselves, each router with a module of its own that shares nothing. A window counts
-all that reaches the node in it, whatever it was sent for: repeats, what was in flight, what came from
-routers that started just now and know nothing. The node's budget N is what the rules allow it at the
-window's begin; the excess over N is given in units of the root of N. Beyond 2 (and 2 requests) it falls.
+Only the decision modules run; each router has one of its own, and they share nothing. A window counts every
+request that reaches the node in it: retries, requests that were in flight, and those of routers that have
+just started and have learned nothing. The node's budget N is what the rules allow at the begin of the
+window. The excess over N is given in units of the root of N. The node fails beyond an excess of 2, plus 2
+requests.
 """
 
 from __future__ import annotations
@@ -30,24 +31,24 @@
 
 @dataclass(frozen=True, slots=True)
 class FullestWindow:
-    """The fullest window of a run."""
+    """The window of a run with the greatest excess over the budget."""
 
     count: int
     budget: float
 
     @property
     def excess(self) -> float:
-        """Over the budget, in units of its root."""
+        """Return the requests over the budget, in units of its root."""
         return (self.count - self.budget) / sqrt(self.budget)
 
     @property
     def overloads_node(self) -> bool:
-        """Whether the node would have fallen."""
+        """Return whether the node would have failed."""
         return self.count > self.budget + 2.0 * sqrt(self.budget) + 2.0
 
 
 class ColdStartFleet:
-    """One run."""
+    """One simulated run with a number of routers, a seed and a load as a share of the capacity."""
 
     def __init__(self, routers: int, seed: int, load: float = 0.6) -> None:
         self.rng = random.Random(seed)
@@ -90,7 +91,7 @@
         return RULES.tip_multiple * min(1.0, share) * NODE_REQUESTS_PER_S * RULES.fall / 1000.0
 
     def schedule(self, when: float, router_index: int, event: api.Event | None) -> None:
-        """Plan an event of a router; None: its next request."""
+        """Schedule an event of a router; None stands for its next request."""
         self.order += 1
         heapq.heappush(self.heap, (when, self.order, router_index, event))
 
@@ -99,32 +100,36 @@
         self.schedule(now + self.rng.expovariate(rate), router_index, None)
 
     def run(self) -> FullestWindow:
-        """The fullest window."""
-        for place in range(self.count):
-            self.schedule(0.0, place, api.EndpointUpdate(api.UpdateScope.CACHED, self._members(0.0)))
+        """Run the simulation; return the window with the greatest excess."""
+        for router_index in range(self.count):
+            self.schedule(0.0, router_index, api.EndpointUpdate(api.UpdateScope.CACHED, self._members(0.0)))
             self.schedule(
-                COLD_START_MS + self.rng.uniform(0, DISCOVERY_DELAY_MS), place, self._full_member_list()
+                COLD_START_MS + self.rng.uniform(0, DISCOVERY_DELAY_MS),
+                router_index,
+                self._full_member_list(),
             )
-            self._next_request(place, 1.0)
+            self._next_request(router_index, 1.0)
         restarted = self.rng.sample(range(self.count), max(1, self.count // 5))
-        restarts = sorted((COLD_START_MS + self.rng.uniform(0, 4_000.0), place) for place in restarted)
+        restarts = sorted(
+            (COLD_START_MS + self.rng.uniform(0, 4_000.0), router_index) for router_index in restarted
+        )
         while self.heap:
-            now, _, place, event = heapq.heappop(self.heap)
+            now, _, router_index, event = heapq.heappop(self.heap)
             if now > RUN_LENGTH_MS:
                 break
             while restarts and restarts[0][0] <= now:
                 self._restart(restarts.pop(0)[1], now)
             if event is None:
-                self._next_request(place, now)
+                self._next_request(router_index, now)
                 event = self._request()
-            self._feed(place, now, event)
+            self._feed(router_index, now, event)
         return self.worst
 
     def _full_member_list(self) -> api.EndpointUpdate:
         return api.EndpointUpdate(api.UpdateScope.FULL, self._members(COLD_START_MS), 1)
 
     def _restart(self, router_index: int, now: float) -> None:
-        """It begins from nothing, with the list of the moment."""
+        """Replace a router by a new one that knows only the present list."""
         self.routers[router_index] = self._router(router_index)
         self.heap = [entry for entry in self.heap if entry[2] != router_index or entry[3] is None]
         heapq.heapify(self.heap)
@@ -145,13 +150,13 @@
     def _send(self, router_index: int, now: float, action: api.Send) -> None:
         number = self.attempts.get((router_index, action.ref), 0)
         self.attempts[router_index, action.ref] = number + 1
-        lag = self.rng.expovariate(1.0 / 60.0) + 20.0
+        latency_ms = self.rng.expovariate(1.0 / 60.0) + 20.0
         result = api.Result.OK
         if action.endpoint_id == self.cold_number and now >= COLD_START_MS:
             self._count(now)
-            lag *= 2.0
+            latency_ms *= 2.0
         if action.endpoint_id != ORIGIN_NUMBER and self.rng.random() < 0.05:
-            result = api.Result.RESET  # a repeat
+            result = api.Result.RESET  # leads to a retry
         outcome = api.AttemptEnded(
             action.ref,
             number,
@@ -159,27 +164,27 @@
             result,
             result is api.Result.OK,
             1,
-            lag,
+            latency_ms,
         )
-        self.schedule(now + lag, router_index, outcome)
+        self.schedule(now + latency_ms, router_index, outcome)
 
     def _count(self, now: float) -> None:
         self.sent.append(now)
         while self.sent[0] <= now - RULES.fall:
             self.sent.popleft()
         found = FullestWindow(len(self.sent), self._budget(now - RULES.fall))
-        self.worst = max(self.worst, found, key=lambda one: one.excess)
+        self.worst = max(self.worst, found, key=lambda window: window.excess)
 
 
 def main(seeds: str) -> None:
-    """Print the worst of many runs, by size of the fleet."""
+    """Print the worst of many runs for each fleet size."""
     first, _, last = seeds.partition("..")
     for routers in FLEET_SIZES:
         runs = [ColdStartFleet(routers, seed).run() for seed in range(int(first), int(last or first) + 1)]
-        worst = max(runs, key=lambda one: one.excess)
+        worst = max(runs, key=lambda window: window.excess)
         print(
             f"routers={routers} runs={len(runs)} worst_excess={worst.excess:.2f} count={worst.count}"
-            f" budget={worst.budget:.1f} fell={sum(one.overloads_node for one in runs)}",
+            f" budget={worst.budget:.1f} fell={sum(run.overloads_node for run in runs)}",
             flush=True,
         )
 
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,7 +1,7 @@
 """Drives a router with seeded random events and checks the four rules on every action.
 
-It is not a model of a fleet: outcomes are drawn at random, including the rarest, so that every path of the
-decision module meets every result.
+It is not a model of a fleet: outcomes, including rare ones, are drawn at random, so that every path of the
+decision module is run with every result.
 """
 
 from __future__ import annotations
@@ -74,10 +74,10 @@
 
 @dataclass
 class TrackedRequest:
-    """The history of a request, for the checks."""
+    """The history of one request, which the checks need."""
 
     event: api.RequestArrived
-    klass: api.RequestClass
+    request_class: api.RequestClass
     deadline: float
     sends: list[tuple[float, int]] = field(default_factory=list)
     results: dict[int, Result] = field(default_factory=dict)
@@ -86,7 +86,7 @@
 
 
 class RandomEventDriver:
-    """Feeds a router with random events, and checks its actions."""
+    """Feeds random events to a router, and checks its actions."""
 
     def __init__(
         self, config: api.RouterSettings, endpoints: list[api.Endpoint], seed: int, keys: int = 40
@@ -129,8 +129,8 @@
             tracked.closed = True
             tracked.answers += 1
         elif isinstance(event, api.RequestArrived):
-            klass = self.given.classes[event.class_index]
-            self.requests[event.ref] = TrackedRequest(event, klass, self.now + event.time_left_ms)
+            request_class = self.given.classes[event.class_index]
+            self.requests[event.ref] = TrackedRequest(event, request_class, self.now + event.time_left_ms)
         for action in self.router.handle(self.now, event):
             self.trace.append((self.now, action))
             self.check(action)
@@ -146,13 +146,15 @@
             if isinstance(action, api.Refuse):
                 risky = [n for n in range(len(tracked.sends)) if tracked.results.get(n) not in api.NEVER_RAN]
                 if risky:
-                    effect, group = tracked.klass.effect, tracked.klass.group
+                    effect, group = tracked.request_class.effect, tracked.request_class.group
                     assert effect is Effect.RETRYABLE or (effect is Effect.DEDUP and group is Group.ALL)
             tracked.closed = True
             tracked.answers += 1
         elif isinstance(action, api.Cancel):
             assert self.given.limits.allow_cancel
-            assert action.attempt < len(self.requests[action.ref].sends), "cancels what was never sent"
+            assert action.attempt < len(
+                self.requests[action.ref].sends
+            ), "cancels an attempt that was never sent"
             if self.rng.random() < 0.9:
                 attempt = action.attempt
                 server = self.requests[action.ref].sends[attempt][1]
@@ -176,22 +178,26 @@
     def check_send(self, action: api.Send) -> None:
         tracked = self.requests[action.ref]
         assert not tracked.closed, "sent after the final answer"
-        assert action.endpoint_id in self.listed, "sent to a server that no list named"
+        assert action.endpoint_id in self.listed, "sent to an endpoint that was never listed"
         assert len(tracked.sends) < self.given.limits.max_attempts
         stopped = self.stopped.get(action.endpoint_id)
-        assert stopped is None or self.now <= stopped + self.given.rules.stop_sending_within, "drain not kept"
-        out = [n for n in range(len(tracked.sends)) if n not in tracked.results]
-        assert len(out) < (2 if self.given.limits.allow_hedging else 1), "too many attempts out"
+        assert (
+            stopped is None or self.now <= stopped + self.given.rules.stop_sending_within
+        ), "sent after the drain's grace period"
+        in_flight = [n for n in range(len(tracked.sends)) if n not in tracked.results]
+        assert len(in_flight) < (2 if self.given.limits.allow_hedging else 1), "too many attempts in flight"
         risky = [n for n in range(len(tracked.sends)) if tracked.results.get(n) not in api.NEVER_RAN]
-        if risky and tracked.klass.effect is Effect.FRAGILE:
+        if risky and tracked.request_class.effect is Effect.FRAGILE:
             raise AssertionError("fragile request sent again")
-        if risky and tracked.klass.effect is Effect.DEDUP:
-            since, server = tracked.sends[risky[0]]
-            assert self.now < since + tracked.klass.repeat_window_ms, "repeat outside the window"
+        if risky and tracked.request_class.effect is Effect.DEDUP:
+            first_sent_at, server = tracked.sends[risky[0]]
+            assert (
+                self.now < first_sent_at + tracked.request_class.repeat_window_ms
+            ), "repeat outside the window"
             before, here = self.listed[server], self.listed[action.endpoint_id]
-            if tracked.klass.group is Group.ZONE:
+            if tracked.request_class.group is Group.ZONE:
                 assert before.zone == here.zone
-            elif tracked.klass.group is Group.CELL:
+            elif tracked.request_class.group is Group.CELL:
                 assert before.cell == here.cell
         attempt = len(tracked.sends)
         tracked.sends.append((self.now, action.endpoint_id))
@@ -200,7 +206,7 @@
         self.schedule_outcome(action, attempt)
 
     def check_cold(self, server: int) -> None:
-        """Rule 4: a budget over every window, by the least capacity that a cold server can have."""
+        """Check rule 4: a budget in every window, by the least capacity that a cold endpoint can have."""
         rules, member = self.given.rules, self.listed[server]
 
         def warm(other: api.Endpoint) -> bool:
@@ -210,24 +216,24 @@
             since = max(since, self.now - rules.fall)
             return sum(when > since for when in self.sent.get(number, [])[-500:])
 
-        if warm(member) or member.kind == self.given.origin_kind:  # it is about cache servers
+        if warm(member) or member.kind == self.given.origin_kind:  # the rule applies to cache nodes only
             return
         every = [m for m in self.listed.values() if m.kind != self.given.origin_kind and warm(m)]
         near = [recent(m.endpoint_id) for m in every if m.zone == member.zone]
-        # where no neighbour is usable, which the driver cannot know, all warm endpoints count
+        # if no neighbour in the zone is usable, which the driver cannot know, all warm endpoints count
         beside = [*near, *(COLD_REMOTE_FACTOR * recent(m.endpoint_id) for m in every)]
-        grown = min(1.0, (self.now - member.started_at) / rules.warm_within)
-        least = rules.cold_from + (1.0 - rules.cold_from) * grown
-        budget = 1 + least * max(beside, default=0)
-        assert recent(server, member.started_at) <= budget, "cold server over its budget"
+        progress = min(1.0, (self.now - member.started_at) / rules.warm_within)
+        least_share = rules.cold_from + (1.0 - rules.cold_from) * progress
+        budget = 1 + least_share * max(beside, default=0)
+        assert recent(server, member.started_at) <= budget, "cold endpoint over its budget"
 
     def schedule_outcome(self, action: api.Send, attempt: int) -> None:
         """Draw the outcome of an attempt."""
         roll, rng = self.rng.random(), self.rng
         tracked = self.requests[action.ref]
-        good = {"calm": 0.97, "mixed": 0.6, "storm": 0.1}[self.outcome_mix]
+        success_probability = {"calm": 0.97, "mixed": 0.6, "storm": 0.1}[self.outcome_mix]
         latency_ms = rng.random() * 120
-        if roll < good:
+        if roll < success_probability:
             origin = self.listed[action.endpoint_id].kind == ORIGIN_KIND
             miss = self.given.mode is Mode.ASIDE and not origin and rng.random() < 0.4
             result = Result.MISS if miss else Result.OK
@@ -236,8 +242,8 @@
             if result is Result.TIMEOUT:
                 latency_ms = tracked.deadline - self.now
         report = tuple(rng.random() * 9 for _ in self.given.report_fields) if rng.random() < 0.5 else ()
-        if tracked.klass.streaming and result is Result.OK and rng.random() < 0.5:
-            tracked.closed = True  # bound to the client from here on
+        if tracked.request_class.streaming and result is Result.OK and rng.random() < 0.5:
+            tracked.closed = True  # the response is being forwarded to the client
             tracked.answers += 1
             self.schedule(self.now, api.FirstByte(action.ref, attempt, action.endpoint_id, 1.0))
         event = api.AttemptEnded(
@@ -251,15 +257,17 @@
         rng = self.rng
         for ref in range(1, requests + 1):
             self.advance(self.now + rng.expovariate(1.0) * rate)
-            klass = rng.randrange(len(self.given.classes))
-            left = self.given.classes[klass].deadline_ms * rng.uniform(0.3, 1.0)
+            class_index = rng.randrange(len(self.given.classes))
+            time_left_ms = self.given.classes[class_index].deadline_ms * rng.uniform(0.3, 1.0)
             key = rng.randrange(self.keys) + 1 if self.keys else 0
             tenant = rng.randrange(max(1, len(self.given.tenants)))
-            self.feed(api.RequestArrived(ref, klass, left, key, tenant, is_write=rng.random() < 0.2))
+            self.feed(
+                api.RequestArrived(ref, class_index, time_left_ms, key, tenant, is_write=rng.random() < 0.2)
+            )
             if rng.random() < 0.02:
                 self.feed(api.ClientDisconnected(ref))
             if rng.random() < churn:
-                self.disturb_members()
+                self.change_random_endpoint()
             if rng.random() < 0.02:
                 self.outcome_mix = rng.choice(["calm", "mixed", "storm"])
             if rng.random() < 0.05:
@@ -296,13 +304,13 @@
                 if server not in named:
                     self.stopped.setdefault(server, self.now)
 
-    def disturb_members(self) -> None:
-        """Change one entry of the list, and send the update."""
+    def change_random_endpoint(self) -> None:
+        """Change one entry of the list at random, and send the update."""
         server = self.rng.choice(sorted(self.members))
         member = self.members[server]
         state = self.rng.choice([Status.READY, Status.READY, Status.DRAINING, Status.REMOVED])
-        born = self.now if state is Status.READY and self.rng.random() < 0.5 else member.started_at
-        self.members[server] = replace(member, status=state, started_at=born)
+        started_at = self.now if state is Status.READY and self.rng.random() < 0.5 else member.started_at
+        self.members[server] = replace(member, status=state, started_at=started_at)
         event = api.EndpointUpdate(UpdateScope.DELTA, (self.members[server],))
         self.record_update(event)
         self.feed(event)
--- a/tests/latency_mixture.py
+++ b/tests/latency_mixture.py
@@ -1,4 +1,4 @@
-"""Random latencies of attempts, some of which never end, for tests of attempt timeouts."""
+"""Draws random latencies of attempts, some of which never end, for tests of attempt timeouts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def draw_from_mixture(hung_fraction: float, spread: float = 0.6) -> DrawRatio:
-    """Most answers about as expected, and a fraction that never comes."""
+    """Return a draw in which most attempts take about the expected time, and a fraction never ends."""
 
     def draw(rng: random.Random) -> float:
         return math.inf if rng.random() < hung_fraction else rng.lognormvariate(-(spread**2) / 2, spread)
--- a/tests/test_attempt_timeouts.py
+++ b/tests/test_attempt_timeouts.py
@@ -1,4 +1,4 @@
-"""The decision to abandon an attempt, against the best timeout found by search; and connect timeouts."""
+"""Abandoning attempts is about as good as the best timeout found by search; and connect timeouts."""
 
 from __future__ import annotations
 
@@ -119,7 +119,7 @@
 
 
 def best_fixed_timeout_share(draw: DrawRatio, deadline_ms: float = 600.0, expected_ms: float = 70.0) -> float:
-    """The share that is answered in time with the best fixed timeout, found by search."""
+    """Return the share that is answered in time with the best fixed timeout, found by search."""
     best = 0.0
     for timeout_ms in (100.0, 130.0, 160.0, 200.0, 250.0, 300.0, 400.0, 600.0):
         rng = random.Random(4)
@@ -139,7 +139,7 @@
 
 
 @pytest.mark.parametrize("hung_fraction", [0.05, 0.2])
-def test_decisions_come_near_the_best_fixed_timeout(
+def test_decisions_are_about_as_good_as_the_best_fixed_timeout(
     hung_fraction: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("rosepick.attempt_timeouts.adaptive_timeout.MOVED_READ_HIT_RATE", 1.0)
@@ -150,7 +150,7 @@
     assert share >= best_fixed_timeout_share(draw) - 0.02
 
 
-def test_next_to_no_attempt_is_abandoned_where_none_hangs(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_few_attempts_are_abandoned_where_none_hangs(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("rosepick.attempt_timeouts.adaptive_timeout.MOVED_READ_HIT_RATE", 1.0)
     share, count, abandoned = AttemptSimulation(lambda rng, _: draw_from_mixture(0.0)(rng)).run()
     assert abandoned < 0.02 * count
@@ -158,7 +158,7 @@
 
 
 def test_attempts_are_not_abandoned_where_the_whole_fleet_is_slow(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Five times slower from the tenth second on, while the expected latency stays as before."""
+    """Responses take five times as long from the tenth second on; the expected latency stays unchanged."""
     monkeypatch.setattr("rosepick.attempt_timeouts.adaptive_timeout.MOVED_READ_HIT_RATE", 1.0)
 
     def slow(rng: random.Random, now: float) -> float:
@@ -207,7 +207,7 @@
     assert hung.is_abandoned and timeouts.budget.tokens == MAX_TOKENS - 1.0
 
 
-def test_another_attempt_must_be_worth_its_cost() -> None:
+def test_another_attempt_must_have_a_better_chance() -> None:
     timeouts = AdaptiveTimeout()
     hung = timeouts.start(0.0, False, 50.0)
     for n in range(20):
@@ -218,9 +218,9 @@
     assert timeouts.try_abandon(hung, 500.0, 100.0, 50.0, 10.0)
 
 
-def test_only_an_attempt_that_hangs_by_all_signs_is_abandoned_while_the_origin_is_short() -> None:
+def test_only_a_surely_hung_attempt_is_abandoned_while_the_origin_is_short() -> None:
     def start_hung_attempt(timeouts: AdaptiveTimeout, older: int) -> AttemptWait:
-        """`older`: how many of the remembered responses are to attempts that were sent before it."""
+        """Start an attempt; `older` of the remembered responses are to attempts that were sent before it."""
         earlier = [timeouts.start(0.0, False, 50.0) for _ in range(older)]
         hung = timeouts.start(1.0, False, 50.0)
         for n in range(3 * REMEMBERED_RESPONSES):
@@ -242,11 +242,11 @@
     assert is_abandoned(older=0, waited_ms=250.0, is_origin_short=False)
     assert not is_abandoned(older=0, waited_ms=250.0, is_origin_short=True)  # not long enough
     assert is_abandoned(older=1, waited_ms=900.0, is_origin_short=False)
-    # an older one was answered just now: a queue
+    # an older one was answered just now, so attempts are queued
     assert not is_abandoned(older=1, waited_ms=900.0, is_origin_short=True)
 
 
-def test_heavy_request_is_heavy_at_another_node_too() -> None:
+def test_an_expensive_request_is_expensive_at_another_node_too() -> None:
     timeouts = AdaptiveTimeout()
     timeouts.moved_read_hit_rate = 1.0
     for n in range(200):
@@ -256,8 +256,8 @@
         timeouts.finish(timeouts.start(4_001.0 + n, False, 40.0, 1.0), 4_041.0 + n, True)
     now = 4_000.0 + 6.0 * heavy.expected_ms
     assert timeouts.may_abandon(heavy, now, 60.0)
-    assert timeouts.retry_probability(now, 60.0, 40.0, 40.0) > 0.9  # an ordinary request would be in time ...
-    assert not timeouts.try_abandon(heavy, now, 60.0, 40.0, 40.0)  # ... and this one at no node
+    assert timeouts.retry_probability(now, 60.0, 40.0, 40.0) > 0.9  # an ordinary request would be in time
+    assert not timeouts.try_abandon(heavy, now, 60.0, 40.0, 40.0)  # this one would be late at every node
 
 
 def test_cache_latency_includes_the_fetch_where_nodes_fetch_for_themselves() -> None:
@@ -268,7 +268,7 @@
 
 
 def test_no_read_is_abandoned_without_another_node() -> None:
-    """One cache node, and later attempts overtake it: it is waited for up to its deadline."""
+    """With one cache node, an attempt that later ones overtake is kept up to its deadline."""
     router = Router(
         settings(classes=(api.RequestClass(objective_ms=800, deadline_ms=1000, worth=2),), tenants=()), 1
     )
@@ -304,7 +304,7 @@
     assert connect_timeout.timeout_ms() == 250.0
     fast_connect_timeout = ConnectTimeout(250.0)
     fast_connect_timeout.record_connected(1.0)
-    for longer_ms in (120.0, 240.0, 250.0):  # an endpoint that became slower would else be cut each time
+    for longer_ms in (120.0, 240.0, 250.0):  # otherwise each connect to a slower endpoint would be abandoned
         fast_connect_timeout.record_timeout()
         assert fast_connect_timeout.timeout_ms() == longer_ms
     for _ in range(300):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""The sum of what all routers send to a cold node stays under what it bears, however many they are."""
+"""All routers together stay within the budget of a cold node, whatever their number."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 @pytest.mark.parametrize("routers", FLEET_SIZES)
-def test_a_cold_node_bears_what_all_routers_send(routers: int) -> None:
+def test_all_routers_together_do_not_overload_a_cold_node(routers: int) -> None:
     runs = [ColdStartFleet(routers, seed).run() for seed in (1, 2, 3)]
-    assert max(run.count for run in runs) > 3  # it is tried at all
+    assert max(run.count for run in runs) > 3  # the node gets requests at all
     assert not any(run.overloads_node for run in runs), runs
 
 
 @pytest.mark.parametrize("routers", FLEET_SIZES)
-def test_without_a_budget_it_falls(routers: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a model that shows nothing."""
+def test_without_a_budget_the_node_is_overloaded(routers: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a simulation in which no router could overload the node."""
     monkeypatch.setattr("rosepick.decisions.decide.Router._has_cold_budget", lambda router, server: True)
     monkeypatch.setattr("rosepick.decisions.decide.EndpointState.min_warm_share", lambda server, now: 1.0)
     assert any(ColdStartFleet(routers, seed, load=0.9).run().overloads_node for seed in (1, 2, 3))
--- a/tests/test_endpoint_health.py
+++ b/tests/test_endpoint_health.py
@@ -38,7 +38,7 @@
     assert server.expected_latency(200.0, 40.0) == pytest.approx(450.0, rel=0.3)
 
 
-def test_load_reports_alone_do_not_refuse() -> None:
+def test_load_reports_alone_cause_no_refusals() -> None:
     server = endpoint_state.EndpointState(api.Endpoint(1), 0.0)
     for n in range(50):
         server.record_latency(float(n), 60.0, 0.0)
@@ -49,7 +49,7 @@
     assert server.expected_latency(100.0, 60.0) > 300.0
 
 
-def test_a_slow_endpoint_is_not_taken_for_a_silent_one() -> None:
+def test_a_slow_endpoint_does_not_count_as_silent() -> None:
     router = create_router()
     router.popularity.touch(5)
     server = sends(router.handle(10.0, api.RequestArrived(1, 0, 900.0, key=5)))[0].endpoint_id
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("write", [False, True])
-def test_an_attempt_that_many_later_ones_passed_is_abandoned(write: bool) -> None:
+def test_an_attempt_overtaken_by_many_later_ones_is_abandoned(write: bool) -> None:
     router, now = create_router(), 1000.0
 
     def serve(ref: int, event: api.RequestArrived) -> None:
@@ -98,7 +98,7 @@
 
     now += 90.0
     check_attempt(999)
-    assert not cancels  # a few passed: it may be a long one
+    assert not cancels  # few overtook it: it may be a long one
     for ref in range(110, 117):
         now += 1.0
         serve(ref, replace(hung, ref=ref))
@@ -110,7 +110,7 @@
 
 
 def test_a_write_is_not_abandoned_where_it_could_not_be_retried() -> None:
-    """Outside its repeat window no attempt may follow: the one in flight is waited for."""
+    """No attempt may follow outside the repeat window, so the one in flight is kept."""
     for window, is_abandoned in ((900.0, True), (120.0, False)):
         config = settings(classes=(READ, replace(WRITE, repeat_window_ms=window)), tenants=())
         router, now = Router(config, 1), 1000.0
@@ -157,7 +157,7 @@
     assert len(sends(router.handle(10.0, api.RequestArrived(1, 0, 900.0, key=5)))) == 1
 
 
-def test_log_lines_are_few() -> None:
+def test_log_lines_of_a_kind_are_rate_limited() -> None:
     router = create_router()
     lines: list[api.Action] = []
     for n in range(40):
@@ -185,7 +185,7 @@
     assert sent <= 1 + warm * router.endpoints.states[777].min_warm_share(now) + 1
 
 
-def test_many_routers_take_turns_at_a_cold_endpoint() -> None:
+def test_many_routers_share_the_budget_of_a_cold_endpoint() -> None:
     sent_count = 0
     for position in range(200):
         router = create_router(routers=200, position=position)
@@ -199,11 +199,11 @@
                 router.warm_traffic.record_send(router.now, server, window_ms)
         sent_count += server.window_sends
     warm = 200 / 3  # sends of all routers to a warm neighbour
-    # two draws lie within a span, each with its own
+    # the time spans two windows, and routers draw anew in each
     assert 0.2 * warm <= sent_count <= 2 * (decide.MIN_COLD_SENDS + 0.4 * warm)
 
 
-def test_a_zone_that_is_cold_as_a_whole_is_measured_by_all_warm_endpoints() -> None:
+def test_budgets_in_a_wholly_cold_zone_follow_all_warm_endpoints() -> None:
     router = create_router(zone=0, cross_zone_cost=0.0)
     endpoints = [replace(m, started_at=1000.0 if m.zone == 1 else 0.0) for m in fleet()]
     router.handle(1000.0, api.EndpointUpdate(UpdateScope.FULL, tuple(endpoints)))
@@ -227,7 +227,7 @@
 
 
 def test_calls_to_discovery_that_fail_are_spread_further_each_time() -> None:
-    """The first retry comes within 200 ms; none sooner than half of its longest delay, nor in step."""
+    """The first retry comes within 200 ms; each takes at least half its longest delay, at random."""
     delays_by_seed = []
     for seed in (1, 2):
         router = Router(replace(settings(), classes=(READ,)), seed)
@@ -250,7 +250,7 @@
             for a in router.handle(now, api.EndpointUpdate(UpdateScope.FAILED))
             if isinstance(a, api.SetTimer)
         ]
-        assert again - now < 200.0  # an answer ends the row
+        assert again - now < 200.0  # a response resets the count of failures
         delays_by_seed.append(delays)
     assert delays_by_seed[0] != delays_by_seed[1]
 
--- a/tests/test_endpoint_pools.py
+++ b/tests/test_endpoint_pools.py
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 12, 100])
-def test_an_order_names_every_endpoint_of_a_small_set_once(size: int) -> None:
+def test_an_order_has_every_endpoint_of_a_small_set_once(size: int) -> None:
     table = table_of(states(size))
     for slot in (0, 700, SLOT_COUNT - 1):
         found = [server.id for server in table.order_for(slot)]
@@ -123,8 +123,8 @@
     assert [next(table.order_for(slot)) for slot in range(SLOT_COUNT)] == before
 
 
-def test_holders_do_not_depend_on_how_the_fleet_came_to_be() -> None:
-    """A router that has seen the fleet shrink from 3,000 places keys as one that starts now."""
+def test_holders_do_not_depend_on_earlier_endpoint_lists() -> None:
+    """A router that has seen the fleet shrink from 3,000 places keys as a new router does."""
     servers = states(3_000)
     shrunk = table_of(servers)
     next(shrunk.order_for(5))
@@ -170,8 +170,8 @@
     assert used == {server.id for server in router.pools.home_zone}
 
 
-def test_promotions_wait_while_the_origin_is_short() -> None:
-    """The second visit of a key stays at its holder in overflow while overflow is wide."""
+def test_keys_change_no_pool_while_the_origin_is_short() -> None:
+    """The second read of a key stays at its overflow holder while overflow slots are placed fleet-wide."""
     for short in (True, False):
         router = create_router(mode=Mode.THROUGH, origin_kind=-1)
         first = sends(router.handle(10.0, api.RequestArrived(1, 0, 900.0, key=5)))[0].endpoint_id
@@ -209,7 +209,7 @@
     """A router that sees few requests knows few popular keys: a fixed overflow pool would be overloaded."""
     for repeats in (0.3, 0.8):
         keep = rest = 0.0
-        for seed in range(3, 11):  # of one seed, chance decides where some hundred keys go
+        for seed in range(3, 11):  # several seeds, as chance places the few hundred keys of one
             router = create_router(zone=17)
             rng, used, key = random.Random(seed), Counter[int](), 1000
             for ref in range(1, 1500):
@@ -277,7 +277,7 @@
 
 
 def large_fleet(size: int, cold_share: float = 0.0) -> Router:
-    """Return a router with a list of so many nodes, a part of which is cold."""
+    """Return a router with a list of `size` nodes, a share of which is cold."""
     cold_count = int(size * cold_share)
     endpoints = [
         replace(endpoint, started_at=1.0 if number < cold_count else 0.0)
--- a/tests/test_extremes.py
+++ b/tests/test_extremes.py
@@ -1,5 +1,6 @@
-"""Settings of other customers: absent, zero, very short, very large. A router with them serves, or says what
-makes no sense and does not start.
+"""Extreme settings: absent, zero, very short, very large.
+
+A router serves with them, or rejects them at the start with a message that names the setting.
 """
 
 from __future__ import annotations
@@ -18,40 +19,40 @@
     "no limits but attempts": ("limits", {"max_attempts": 1}),
     "idle connections are not kept": ("limits.conn_idle", 0.0),
     "idle connections are kept for ever": ("limits.conn_idle", HUGE),
-    "a dial has to be up at once": ("limits.dial_timeout", 0.0),
-    "a dial may take for ever": ("limits.dial_timeout", HUGE),
+    "connects get no time": ("limits.dial_timeout", 0.0),
+    "connects may take for ever": ("limits.dial_timeout", HUGE),
     "many attempts": ("limits.max_attempts", 1_000_000),
-    "no time to come back is told": ("limits.retry_after", False),
+    "no retry-after is sent": ("limits.retry_after", False),
     "no rules": ("rules", {}),
     "a drain counts at once": ("rules.stop_sending_within", 0.0),
-    "no window in which a cold node falls": ("rules.fall", 0.0),
+    "no window for the sends to a cold node": ("rules.fall", 0.0),
     "nothing warms up": ("rules.warm_within", 0.0),
     "all warm up for ever": ("rules.warm_within", HUGE),
-    "cold nodes do nothing": ("rules.cold_from", 0.0),
+    "cold nodes have no capacity": ("rules.cold_from", 0.0),
     "no multiple": ("rules.tip_multiple", 0.0),
     "no grace": ("rules.grace_to_answer", 0.0),
     "no tenants' shares": ("tenants", [{"name": "acme"}]),
-    "a share of all": ("tenants", [{"name": "acme", "share": 1.0}]),
+    "a share of 1": ("tenants", [{"name": "acme", "share": 1.0}]),
     "no zones": ("failure_domains", []),
     "no router, which reads as one": ("balancers", 0),
     "thousands of routers": ("balancers", 100_000),
-    "no worth": ("request_classes.worth", 0.0),
-    "an aim beyond the deadline": ("request_classes.objective", HUGE),
+    "no value": ("request_classes.worth", 0.0),
+    "an objective beyond the deadline": ("request_classes.objective", HUGE),
     "a deadline of a year": ("request_classes.deadline", 3.2e10),
     "no window for repeats": ("request_classes.repeat_window", 0.0),
     "a window of a year": ("request_classes.repeat_window", 3.2e10),
     "nothing may be repeated": ("request_classes.effect", "fragile"),
 }
-TURNED_DOWN: dict[str, tuple[str, Any]] = {
+REJECTED: dict[str, tuple[str, Any]] = {
     "no class": ("request_classes", []),
     "no attempt": ("limits.max_attempts", 0),
     "half an attempt": ("limits.max_attempts", 1.5),
-    "a deadline of nothing": ("request_classes.deadline", 0.0),
-    "a deadline below nothing": ("request_classes.deadline", -5.0),
-    "a share beyond all": ("tenants", [{"name": "acme", "share": 1.5}]),
-    "an effect that is none": ("request_classes.effect", "sometimes"),
-    "a window below nothing": ("request_classes.repeat_window", -1.0),
-    "a rule that is no number": ("rules.fall", "soon"),
+    "a deadline of zero": ("request_classes.deadline", 0.0),
+    "a negative deadline": ("request_classes.deadline", -5.0),
+    "a share above 1": ("tenants", [{"name": "acme", "share": 1.5}]),
+    "an unknown effect": ("request_classes.effect", "sometimes"),
+    "a negative window": ("request_classes.repeat_window", -1.0),
+    "a rule that is not a number": ("rules.fall", "soon"),
 }
 
 
@@ -103,14 +104,14 @@
         self.play("c1 send GET /api/k1\nc1 expect 503\ns1 expect nothing\nall holds engine.pending_count 0")
 
 
-@pytest.mark.parametrize("name", TURNED_DOWN)
-def test_settings_that_make_no_sense_are_rejected(name: str) -> None:
+@pytest.mark.parametrize("name", REJECTED)
+def test_invalid_settings_are_rejected(name: str) -> None:
     document = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:1",
         "seed": "1f",
-        "settings": changed(*TURNED_DOWN[name]),
+        "settings": changed(*REJECTED[name]),
     }
     with pytest.raises(ValueError, match="setting "):
         config.read(document)
--- a/tests/test_latency_histogram.py
+++ b/tests/test_latency_histogram.py
@@ -1,4 +1,4 @@
-"""The estimate of latencies, against known distributions and an optimum found by search."""
+"""The latency histogram matches known distributions and an optimum found by search."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def true_survival_at(draw: DrawRatio, ratio: float) -> float:
-    """The true part that has no answer after such a multiple."""
+    """Return the true share of attempts without a response after `ratio` times the expected latency."""
     rng = random.Random(5)
     return sum(draw(rng) > ratio for _ in range(20_000)) / 20_000
 
@@ -22,7 +22,7 @@
 def observe(
     draw: DrawRatio, timeout: float, count: int = 3_000, interval_ms: float = 2.0
 ) -> LatencyHistogram:
-    """A histogram of attempts that were waited for up to `timeout`, a multiple of what is expected."""
+    """Return a histogram of attempts that were abandoned at `timeout` times the expected latency."""
     histogram = LatencyHistogram()
     rng = random.Random(1)
     for n in range(count):
@@ -46,7 +46,7 @@
 
 
 def test_abandoned_attempts_count() -> None:
-    """Leaving them out would make all answers look quick."""
+    """Guards against estimates that leave abandoned attempts out: all responses would seem fast."""
     with_abandoned = observe(draw_from_mixture(0.2), 1.5)
     responses_only = LatencyHistogram()
     rng = random.Random(1)
@@ -108,7 +108,7 @@
     ratios = [draw(rng) for _ in range(20_000)]
 
     def mean_time(timeout: float) -> float:
-        """Of an answer, with all attempts cut at the timeout and restarted."""
+        """Return the mean time to a response if all attempts are abandoned at the timeout and restarted."""
         answered = [ratio for ratio in ratios if ratio <= timeout]
         spent = sum(answered) + (len(ratios) - len(answered)) * timeout
         return (spent + cost * len(ratios)) / len(answered)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Size and form of the decision module."""
+"""The size and the imports of the decision module."""
 
 from __future__ import annotations
 
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -9,7 +9,7 @@
 from .driver import create_router, sends, settings
 
 
-def test_late_responses_make_refusals_come_earlier() -> None:
+def test_late_responses_lower_the_wait_limit() -> None:
     shedder = decide.LoadShedder()
     for _ in range(50):
         shedder.record_loss(1.0)
@@ -22,8 +22,8 @@
     assert shedder.wait_share == 1.0
 
 
-def test_slow_responses_bound_what_a_router_has_in_flight() -> None:
-    """A burst must not overload every endpoint before many late responses show it."""
+def test_slow_responses_lower_the_in_flight_limit() -> None:
+    """Guards against a burst that overloads every endpoint before a router sees many late responses."""
     shedder, now = decide.LoadShedder(), 0.0
     shedder.in_flight = 6
     for _ in range(20):
@@ -38,7 +38,9 @@
     router = create_router()
     router.shedder.limit = 1.0
     assert sends(router.handle(10.0, api.RequestArrived(1, 0, 900.0, key=5)))
-    assert sends(router.handle(11.0, api.RequestArrived(2, 0, 900.0, key=6)))  # its worth lets it go beyond
+    assert sends(
+        router.handle(11.0, api.RequestArrived(2, 0, 900.0, key=6))
+    )  # its value lets it exceed the limit
     refused = router.handle(12.0, api.RequestArrived(3, 0, 900.0, key=7))
     assert any(isinstance(action, api.Refuse) for action in refused)
 
--- a/tests/test_origin_admission.py
+++ b/tests/test_origin_admission.py
@@ -34,7 +34,7 @@
 
 
 def test_a_router_with_few_fetches_pauses_while_the_origin_fails() -> None:
-    """One fetch at each of hundreds of routers overloads an origin: a limit under one means pauses."""
+    """One fetch at each of hundreds of routers overloads an origin, so a limit under 1 causes pauses."""
     origin, now, sent = decide.OriginAdmission(settings(classes=(READ,), routers=300)), 0.0, 0
     for _ in range(2000):
         now += 50.0
@@ -65,7 +65,7 @@
 
 
 def test_timed_out_fetches_cut_the_limit() -> None:
-    """Through mode: an overloaded origin gives no outcome but timeouts, and they must count."""
+    """In read-through mode an overloaded origin causes only timeouts, so they must cut the limit."""
     router = create_router(mode=Mode.THROUGH, origin_kind=-1)
     for n in range(30):
         router.origin.record_fetch(10.0 + n, 100.0, True)
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("usual_latency_ms", [100.0, 450.0])
 def test_hung_fetches_cut_the_limit_only_where_others_are_slow(usual_latency_ms: float) -> None:
-    """Aside mode: every fourth fetch never ends, and the others take `usual_latency_ms`."""
+    """In cache-aside mode every fourth fetch never ends, and the others take `usual_latency_ms`."""
     router = create_router()
     for n in range(30):
         router.origin.record_fetch(10.0 + n, 100.0, True)
@@ -109,7 +109,7 @@
     assert (router.origin.limit < before / 2) == (usual_latency_ms > 400.0)
 
 
-def test_an_overload_at_the_start_is_not_taken_for_the_best_latency() -> None:
+def test_an_overload_at_the_start_does_not_count_as_the_best_latency() -> None:
     origin = decide.OriginAdmission(settings(classes=(READ,)))
     for n in range(60):
         origin.in_flight = 10
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Wall clocks that step: what starts is cold for as long as it is, whatever the clocks say."""
+"""Wall clocks that step: a new endpoint is cold until its warm-up ends, whatever the clocks show."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class SteppedRouter:
-    """A router whose wall clock is ahead by `offset_ms`, and discovery's lists by true time."""
+    """A router whose wall clock is ahead by `offset_ms`, while discovery's lists have true times."""
 
     def __init__(self, offset_ms: float) -> None:
         names = NameIndexes({}, {}, {"east": 0}, {"std": 0})
@@ -46,8 +46,8 @@
         self.router = Router(replace(settings(), classes=(READ,)), 1)
         self.warm_within = self.router.settings.rules.warm_within
 
-    def tell(self, now: float, rows: dict[str, float], is_full: bool = False) -> None:
-        """Give the router a list: endpoints with their starts on its monotonic clock; 0: long ago."""
+    def apply_list(self, now: float, rows: dict[str, float], is_full: bool = False) -> None:
+        """Give the router a list of endpoints with their starts on its monotonic clock; 0 is long ago."""
         targets = [
             {
                 "uid": uid,
@@ -62,7 +62,7 @@
         document = SettingsReader({"rev": 1, "all": is_full, "targets": targets}, "")
         self.router.handle(now, self.directory.apply_update(document).event)
 
-    def cold_until(self, uid: str) -> float:
+    def warmup_end(self, uid: str) -> float:
         """Return when an endpoint's warm-up ends; minus infinity if it has none."""
         return self.router.endpoints.states[self.directory.ids_by_uid[uid]].warmup_end
 
@@ -70,15 +70,15 @@
 @pytest.mark.parametrize("offset_ms", [0.0, 30_000.0, -30_000.0, HOUR_MS, -HOUR_MS])
 def test_an_endpoint_that_appears_is_cold(offset_ms: float) -> None:
     stepped = SteppedRouter(offset_ms)
-    stepped.tell(0.0, {"old": 0.0}, is_full=True)
-    stepped.tell(SECOND_LIST_AT - 2_500.0, {})
-    stepped.tell(SECOND_LIST_AT, {"new": SECOND_LIST_AT - 1_000.0})
-    cold_until = stepped.cold_until("new")
-    # its true end is warm_within after 9,000; never sooner than from the list before, nor from the future
+    stepped.apply_list(0.0, {"old": 0.0}, is_full=True)
+    stepped.apply_list(SECOND_LIST_AT - 2_500.0, {})
+    stepped.apply_list(SECOND_LIST_AT, {"new": SECOND_LIST_AT - 1_000.0})
+    cold_until = stepped.warmup_end("new")
+    # its true warm-up starts at 9,000; the assumed one starts between the list before and now
     assert (
         SECOND_LIST_AT - 2_500.0 + stepped.warm_within <= cold_until <= SECOND_LIST_AT + stepped.warm_within
     )
-    assert stepped.cold_until("old") == float("-inf")
+    assert stepped.warmup_end("old") == float("-inf")
 
 
 @pytest.mark.parametrize("offset_ms", [0.0, HOUR_MS, -HOUR_MS])
@@ -87,10 +87,12 @@
     offset_ms: float, machine_step_ms: float
 ) -> None:
     stepped = SteppedRouter(offset_ms)
-    stepped.tell(0.0, {"one": -HOUR_MS / 6.0}, is_full=True)  # a step back of an hour gives an earlier start
-    stepped.tell(SECOND_LIST_AT - 2_500.0, {})
-    stepped.tell(SECOND_LIST_AT, {"one": SECOND_LIST_AT - 1_000.0 + machine_step_ms})
-    cold_until = stepped.cold_until("one")
+    stepped.apply_list(
+        0.0, {"one": -HOUR_MS / 6.0}, is_full=True
+    )  # a step back of an hour gives an earlier start
+    stepped.apply_list(SECOND_LIST_AT - 2_500.0, {})
+    stepped.apply_list(SECOND_LIST_AT, {"one": SECOND_LIST_AT - 1_000.0 + machine_step_ms})
+    cold_until = stepped.warmup_end("one")
     assert (
         SECOND_LIST_AT - 2_500.0 + stepped.warm_within <= cold_until <= SECOND_LIST_AT + stepped.warm_within
     )
@@ -98,24 +100,24 @@
 
 def test_an_endpoint_that_returns_with_the_start_it_had_is_not_cold_again() -> None:
     stepped = SteppedRouter(0.0)
-    stepped.tell(0.0, {"one": -HOUR_MS, "two": -HOUR_MS}, is_full=True)
-    stepped.tell(1_000.0, {"two": -HOUR_MS}, is_full=True)  # a part of the fleet was lost to discovery
-    stepped.tell(SECOND_LIST_AT, {"one": -HOUR_MS, "two": -HOUR_MS}, is_full=True)
-    assert stepped.cold_until("one") < SECOND_LIST_AT
+    stepped.apply_list(0.0, {"one": -HOUR_MS, "two": -HOUR_MS}, is_full=True)
+    stepped.apply_list(1_000.0, {"two": -HOUR_MS}, is_full=True)  # a part of the fleet was lost to discovery
+    stepped.apply_list(SECOND_LIST_AT, {"one": -HOUR_MS, "two": -HOUR_MS}, is_full=True)
+    assert stepped.warmup_end("one") < SECOND_LIST_AT
 
 
 def test_a_start_in_the_future_counts_as_now() -> None:
-    """In the first list too, of which nothing else is known."""
+    """Guards against a warm-up that is too long after the first list, for which only the clocks are known."""
     stepped = SteppedRouter(-HOUR_MS)
-    stepped.tell(0.0, {"one": -1_000.0}, is_full=True)
-    assert stepped.cold_until("one") == stepped.warm_within
+    stepped.apply_list(0.0, {"one": -1_000.0}, is_full=True)
+    assert stepped.warmup_end("one") == stepped.warm_within
 
 
 def test_warm_up_is_as_the_clocks_say_in_the_first_list() -> None:
     stepped = SteppedRouter(0.0)
-    stepped.tell(0.0, {"one": -1_000.0, "two": -HOUR_MS}, is_full=True)
-    assert stepped.cold_until("one") == pytest.approx(stepped.warm_within - 1_000.0)
-    assert stepped.cold_until("two") == float("-inf")
+    stepped.apply_list(0.0, {"one": -1_000.0, "two": -HOUR_MS}, is_full=True)
+    assert stepped.warmup_end("one") == pytest.approx(stepped.warm_within - 1_000.0)
+    assert stepped.warmup_end("two") == float("-inf")
 
 
 def test_a_repeated_row_does_not_begin_a_warm_up_anew() -> None:
@@ -132,7 +134,7 @@
 
 
 def _reads_wall_clock(path: Path) -> bool:
-    """Whether a module calls time.time or datetime.now, or imports them by name."""
+    """Return whether a module calls time.time or datetime.now, or imports them by name."""
     nodes = list(ast.walk(ast.parse(path.read_text("utf-8"))))
     imports = [node for node in nodes if isinstance(node, ast.ImportFrom) and node.module == "time"]
     called = {
