--- a/rosepick/fleet/__init__.py
+++ b/rosepick/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Drains and rollouts of a fleet: fleet state, disruption budget, agents, failure detector, rollouts.
+"""Coordination logic of drains and rollouts: fleet state, disruption budget, agent, failure detector, leader.
 
-Everything here is a state machine or a pure function: no I/O, no clock. Drivers are in `coordination`.
+This package contains state machines and pure functions without I/O and clock; `coordination` has the drivers.
 """
--- a/rosepick/fleet/agent.py
+++ b/rosepick/fleet/agent.py
@@ -1,8 +1,8 @@
 """The agent of one member, as a state machine without I/O and clock.
 
-An agent requests permits, drains and stops its member, starts it again, and ends the permit once the member
-is healthy. Each step is on its disk before it is taken, so that an agent that was restarted goes on with it.
-Without the quorum an agent begins nothing and brings back a member that is out.
+An agent acquires a drain permit, drains and stops its member, starts it again, and ends the permit once the
+member is healthy. It saves each phase to its disk before it acts on it, so that a restarted agent resumes the
+drain. While the quorum is unreachable an agent begins no drain and starts a member that is out.
 
 Times are milliseconds of the agent's own clock, unless their name ends in `_s`.
 """
@@ -22,18 +22,19 @@
 from .partition_detector import PartitionDetector
 from .versioned_document import DocumentDecodeError
 
-MIN_RELATIVE_HIT_RATIO = 0.8  # a cache node is warm at this part of the typical hit ratio
-POLL_INTERVAL_PER_MEMBER_MS = 10.0  # all members together read the fleet state 100 times a second at most
-MAX_STATE_AGE_MS = 2_000.0  # a member leaves only by a fleet state that is no older
+MIN_RELATIVE_HIT_RATIO = 0.8  # a cache node is warm from this fraction of the typical hit ratio
+POLL_INTERVAL_PER_MEMBER_MS = 10.0  # limits the reads of all agents together to 100 per second
+MAX_STATE_AGE_MS = 2_000.0  # an agent does not drain or stop its member by an older fleet state
 
 
 @dataclass(frozen=True, slots=True)
 class AgentPolicy:
     """Intervals and timeouts of an agent, in milliseconds.
 
-    `partition_timeout_ms`: without an answer of the quorum for so long, a member that is out is brought back.
-    `min_serving_ms`: a member has to serve for so long before it counts as healthy. `max_sweep_age_ms`: a
-    permit is taken only if a failure detector has counted all members in the last so many milliseconds.
+    `partition_timeout_ms`: time without a response of the quorum after which a member that is out is started
+    again. `min_serving_ms`: time for which a member has to serve before it counts as healthy.
+    `max_sweep_age_ms`: maximum age of the failure detector's last complete sweep of all members at which a
+    permit may be acquired.
     """
 
     poll_interval_ms: float = 500.0
@@ -43,50 +44,50 @@
 
 
 class MemberAction(Enum):
-    """What is to be done with the member now."""
+    """What the agent has to do with its member now."""
 
     NONE = "nothing"
     START = "start"
-    DRAIN = "drain"  # accept nothing new
-    UNDRAIN = "keep"  # accept again
+    DRAIN = "drain"  # the member accepts no new requests
+    UNDRAIN = "keep"  # the member accepts requests again
     STOP = "stop"
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """The state of the member: the worse of what it reports and what its agent observes."""
+    """The state of the member: the worse of its own report and the agent's observation."""
 
     running: bool = False
     serving: bool = False
     draining: bool = False
-    stopping: bool = False  # it has been asked to stop
-    idle: bool = False  # nothing is in flight, and nothing has arrived for a while
-    warm: bool = True  # cache nodes only, as reported
-    hit_ratio: float | None = None  # recent hits of a cache node; None: too few reads
-    limit_violation: str = ""  # a figure that is beyond its stated limit, in words
-    runs_wrong_build: bool = False  # it runs another build than it is meant to
-    exit_count: int = 0  # how often it has exited by itself
+    stopping: bool = False  # the agent has requested a stop
+    idle: bool = False  # no request is in flight and none has arrived recently
+    warm: bool = True  # as a cache node reports; always True for routers
+    hit_ratio: float | None = None  # recent hit ratio of a cache node; None after too few reads
+    limit_violation: str = ""  # describes a metric above its configured limit; empty if there is none
+    runs_wrong_build: bool = False  # the running build is not the intended one
+    exit_count: int = 0  # exits that the agent did not request
 
 
 class MemberStateStore(Protocol):
-    """Durable storage of the member's phase and permit."""
+    """Durable storage for the phase and the permit of a member."""
 
     def load(self) -> tuple[int, int]:
-        """Return the phase and the permit that were saved; zeros if none were."""
+        """Return the saved phase and permit number; (0, 0) if none were saved."""
 
     def save(self, phase: int, permit: int) -> None:
-        """Save the phase and the permit.
+        """Save the phase and the permit number; they are on the disk when this returns.
 
         Raises:
-            OSError: they could not be written; on return they are on the disk.
+            OSError: the values cannot be written.
         """
 
 
 class Agent:
     """State machine of one agent.
 
-    `next_action` says what to do with the member; `next_operation` what to ask of the quorum, one operation
-    at a time, and `handle_outcome` takes its result.
+    `next_action` returns what to do with the member. `next_operation` returns the next operation for the
+    quorum, one at a time, and `handle_outcome` processes its result.
     """
 
     def __init__(
@@ -110,25 +111,25 @@
         saved_phase, self.permit = store.load()
         self.phase = MemberPhase(saved_phase)
         self.fleet_state: FleetState | None = None
-        self.decode_error = ""  # why the fleet state cannot be read
-        self.deployer: Deployer | None = None  # None: the member takes no part in rollouts
+        self.decode_error = ""  # why the fleet state cannot be decoded; empty if it can
+        self.deployer: Deployer | None = None  # None if the member takes no part in rollouts
         self._exit_count = 0
         self._serving_since: float | None = None
         self._partitions = PartitionDetector(policy.partition_timeout_ms)
-        self._state_read_at = -MAX_STATE_AGE_MS - 1.0  # the fleet state is at least as recent as this
+        self._state_read_at = -MAX_STATE_AGE_MS - 1.0  # the fleet state was read at this time or later
         self._operation_started_at: float | None = None  # None: no operation is open
         self._next_operation_at = 0.0
         self._last_sweep_count = -1
-        self._last_sweep_at = 0.0  # when that count was new
+        self._last_sweep_at = 0.0  # when this count was first read
 
-    # -- what is to be done with the member
+    # -- actions on the member
 
     def is_partitioned(self, now: float) -> bool:
         """Return whether the quorum has not answered for too long."""
         return self._partitions.is_partitioned(now)
 
     def next_action(self, now: float, status: MemberStatus) -> MemberAction:
-        """Return what to do with the member now; the fencing guard has to accept STOP and DRAIN first."""
+        """Return what to do with the member now; STOP and DRAIN need the fencing guard's consent."""
         if not status.serving:
             self._serving_since = None
         elif self._serving_since is None:
@@ -140,7 +141,7 @@
             self._save_phase(MemberPhase.BACK, self.permit)
         if self.phase == MemberPhase.LEAVING:
             return self._drain_action(now, status)
-        if self.phase == MemberPhase.OUT:  # if it runs, somebody else has started it
+        if self.phase == MemberPhase.OUT:  # a running member was started by something other than the agent
             return MemberAction.STOP if status.running else MemberAction.NONE
         if not status.running:
             return MemberAction.START
@@ -162,7 +163,7 @@
         if not status.running:
             self._save_phase(MemberPhase.OUT, self.permit)
             return MemberAction.NONE
-        # a process that was paused must not go by a state from before the pause: there may be a halt by now
+        # a resumed process must not act on a state from before its pause: drains may be halted by now
         if now - self._state_read_at > MAX_STATE_AGE_MS and not status.stopping:
             return MemberAction.NONE
         if self.kind == MemberKind.CACHE and not status.idle:
@@ -170,15 +171,15 @@
         return MemberAction.STOP
 
     def _must_stop(self, status: MemberStatus) -> bool:
-        """Return whether the member is stopping: it cannot return before it has stopped."""
+        """Return whether the member is still stopping; it cannot be started again before it has stopped."""
         return status.running and status.stopping
 
     def _should_return(self, now: float) -> bool:
-        """Return whether a leaving member is to come back: request cancelled, halt, or no quorum."""
+        """Return whether a leaving member returns: its request is cancelled, a halt, or a partition."""
         if self.is_partitioned(now):
             return True
         if self.fleet_state is None:
-            return False  # nothing is known yet: what is out stays out
+            return False  # no fleet state was read yet: a member that is out stays out
         halted = self.fleet_state.halt is not None
         member = self._own_member()
         return (
@@ -189,7 +190,7 @@
         )
 
     def is_healthy(self, now: float, status: MemberStatus) -> bool:
-        """Return whether the member has served for long enough, runs the right build and is warm."""
+        """Return whether the member has served for the minimum time, runs the right build and is warm."""
         serving_since = self._serving_since
         min_serving_ms = self.policy.min_serving_ms
         if self.deployer is not None and self.deployer.probation_kind:
@@ -209,25 +210,25 @@
         return None if self.fleet_state is None else self.fleet_state.members.get(self.name)
 
     def _save_phase(self, phase: MemberPhase, permit: int) -> None:
-        """Save a new phase before anything is done by it."""
+        """Save a new phase before the agent acts on it."""
         if (phase, permit) != (self.phase, self.permit):
             self._store.save(int(phase), permit)
             self.phase = phase
             self.permit = permit
 
-    # -- what is asked of the quorum
+    # -- operations for the quorum
 
     def next_wakeup(self) -> float:
-        """Return when the next operation is due."""
+        """Return the time at which the next operation is due."""
         return self._next_operation_at
 
     def next_operation(self, now: float, status: MemberStatus, wall_time_s: float) -> FleetOperation | None:
         """Return the next operation on the fleet state; None while one is open or none is due.
 
-        `wall_time_s` is the wall clock in seconds, for the history and for hours without drains.
+        `wall_time_s` is the wall clock in seconds; the history and the budget's closed hours use it.
 
         Raises:
-            OSError: a phase could not be saved; the operation is due again.
+            OSError: a phase cannot be saved; the operation stays due.
         """
         if self._operation_started_at is not None or now < self._next_operation_at:
             return None
@@ -235,7 +236,7 @@
             operation = FleetOperation(OperationKind.READ, None)
         else:
             operation = self._choose_operation(now, status, wall_time_s, self.fleet_state)
-        self._operation_started_at = now  # not before: a phase that could not be saved leaves none open
+        self._operation_started_at = now  # set last: if a phase cannot be saved, no operation is open
         return operation
 
     def _choose_operation(
@@ -259,18 +260,18 @@
         return operation or FleetOperation(OperationKind.READ, None)
 
     def _reconcile(self, member: FleetMember) -> None:
-        """Adopt the agreed phase of the member where it differs from the one that was saved."""
+        """Adopt the phase in the fleet state where it differs from the saved one."""
         if self.phase == MemberPhase.IN and member.phase != MemberPhase.IN:
-            # the disk was lost: nobody can tell how far a drain had come, so the member is brought back
+            # the disk was lost and with it the progress of the drain, so the member returns
             phase = MemberPhase.GIVEN if member.phase == MemberPhase.GIVEN else MemberPhase.BACK
             self._save_phase(phase, member.permit)
         elif self.phase != MemberPhase.IN and member.permit != self.permit:
-            self._save_phase(MemberPhase.IN, 0)  # the permit ended, was withdrawn, or the member evicted
+            self._save_phase(MemberPhase.IN, 0)  # the permit ended or was withdrawn, or an eviction
         elif self.phase == MemberPhase.GIVEN and member.phase == MemberPhase.LEAVING:
-            self._save_phase(MemberPhase.LEAVING, self.permit)  # the answer to `begin_drain` was lost
+            self._save_phase(MemberPhase.LEAVING, self.permit)  # the response to `begin_drain` was lost
 
     def _halt_reason(self, state: FleetState, status: MemberStatus) -> str:
-        """Return why this agent has to halt all drains; empty if it does not."""
+        """Return why this agent has to halt all drains; empty if no halt is needed."""
         no_drain = all(member.phase == MemberPhase.IN for member in state.members.values())
         if state.halt is not None or no_drain:
             self._partitions.clear_partition()
@@ -278,14 +279,14 @@
         partition_ms = self._partitions.unreported_partition_ms()
         if partition_ms:
             return f"no quorum for {partition_ms / 1000.0:.0f} s amid a drain"
-        # figures of a version under analysis are for the rollout leader to judge
+        # the rollout leader evaluates the metrics of an artifact under analysis
         is_analyzed = self.deployer is not None and self.deployer.is_under_analysis()
         return f"{self.name}: {status.limit_violation}" if status.limit_violation and not is_analyzed else ""
 
     def _deploy_operation(
         self, now: float, wall_time_s: float, state: FleetState, member: FleetMember
     ) -> FleetOperation | None:
-        """Return the operation that a rollout needs now, if any."""
+        """Return the operation that is due for a rollout, if any."""
         if self.deployer is None or member.phase != self.phase:
             return None
         change = self.deployer.next_change(now, self.phase, member, state, wall_time_s)
@@ -294,7 +295,7 @@
     def _permit_operation(
         self, now: float, status: MemberStatus, wall_time_s: float, state: FleetState, member: FleetMember
     ) -> FleetOperation | None:
-        """Return the next step of this member's permit, if one is due."""
+        """Return the operation for the next step of this member's permit, if one is due."""
         if self.phase == MemberPhase.IN:
             return self._acquire_operation(now, wall_time_s, state, member)
         if self.phase == MemberPhase.GIVEN:
@@ -318,8 +319,8 @@
         if member.drain_request is None:
             return None
         minute = int(wall_time_s // 60) % MINUTES_PER_DAY
-        is_swept = now - self._last_sweep_at <= self.policy.max_sweep_age_ms
-        may_count = member.drain_request.immediate or is_swept
+        has_recent_sweep = now - self._last_sweep_at <= self.policy.max_sweep_age_ms
+        may_count = member.drain_request.immediate or has_recent_sweep
         if not (may_count and self._may_leave(minute, state, self.name)):
             return None
         change = drain_permits.acquire_permit(
@@ -342,7 +343,7 @@
         return state.budget_digest == self.budget_digest and may_take_permit(self.budget, minute, state, name)
 
     def handle_outcome(self, now: float, operation: FleetOperation, outcome: OperationOutcome) -> None:
-        """Take the outcome of the open operation."""
+        """Process the outcome of the open operation."""
         started_at = self._operation_started_at
         self._operation_started_at = None
         self._next_operation_at = now + self.poll_interval_ms()
@@ -353,8 +354,8 @@
         self._partitions.record_response(now)
         try:
             self.fleet_state = fleet_state.decode_fleet_state(outcome.register)
-        except DocumentDecodeError as problem:
-            self.decode_error = str(problem)
+        except DocumentDecodeError as error:
+            self.decode_error = str(error)
             return
         self.decode_error = ""
         self._state_read_at = now if started_at is None else started_at
@@ -366,30 +367,30 @@
     def _record_sweep(self, sweep_count: int) -> None:
         if sweep_count == self._last_sweep_count:
             return
-        # the first count that is seen may be of any age
+        # the sweep behind the first count that this agent reads may be of any age
         is_first = self._last_sweep_count < 0
         self._last_sweep_at = -self.policy.max_sweep_age_ms if is_first else self._state_read_at
         self._last_sweep_count = sweep_count
 
     def record_quorum_response(self, now: float) -> None:
-        """Note that the quorum has answered another request of this process."""
+        """Record a response of the quorum to another request of this process."""
         self._partitions.record_other_response(now)
 
     def poll_interval_ms(self) -> float:
-        """Return the time until the next read of the fleet state.
+        """Return the interval between reads of the fleet state in milliseconds.
 
-        While nothing is to be done with this member it grows with the fleet, so that all agents together
-        read at a bounded rate.
+        While this member has no drain in progress the interval grows with the number of members, which
+        bounds the read rate of all agents together.
         """
         member = self._own_member()
-        is_busy = member is None or self.phase != MemberPhase.IN or member.drain_request is not None
-        if is_busy:
+        reads_frequently = member is None or self.phase != MemberPhase.IN or member.drain_request is not None
+        if reads_frequently:
             return self.policy.poll_interval_ms
         member_count = 0 if self.fleet_state is None else len(self.fleet_state.members)
         return max(self.policy.poll_interval_ms, POLL_INTERVAL_PER_MEMBER_MS * member_count)
 
     def _apply_outcome(self, operation: FleetOperation, outcome: OperationOutcome) -> None:
-        """Save the phase that a committed operation has led to."""
+        """Save the phase that follows from a committed operation."""
         member = self._own_member()
         if outcome.kind is not OutcomeKind.COMMITTED or member is None:
             return
--- a/rosepick/fleet/canary_analysis.py
+++ b/rosepick/fleet/canary_analysis.py
@@ -1,13 +1,14 @@
-"""Canary analysis: is the new version worse? A sequential test over paired figures.
-
-In each interval the members that changed are compared with members of the same zone that did not, so that
-whatever a whole zone feels (its load, an origin that is down) cancels out. As a member may always have been
-slower than others, the difference is compared with what it was before the change. Under "no worse" the
-recursive residuals (each difference less its prediction from all before it: Brown, Durbin and Evans 1975) are
-independent and normal with variance 1. The evidence is a likelihood ratio against a mixture of harms, a
-martingale under "no worse": by Ville's inequality it exceeds 1/a with a probability of at most a, however
-often it is looked at (Howard, Ramdas and others 2021; Johari and others 2017 for the mixture in experiments
-that are watched). Residuals are clipped, so that one burst at a router with few requests decides nothing.
+"""Canary analysis: a sequential test over paired metrics decides whether a new artifact is worse.
+
+In each interval the changed members are compared with unchanged members of the same zone. This cancels
+effects on the whole zone, such as its load or an origin that is down. A member may always have been slower
+than others, so the difference is compared with its baseline from before the change. Under the null hypothesis
+"no worse" the recursive residuals (each difference less its prediction from all earlier ones: Brown, Durbin
+and Evans 1975) are independent and normal with variance 1. The evidence is a likelihood ratio against a
+mixture of harms. It is a martingale under the null hypothesis: by Ville's inequality it exceeds 1/a with a
+probability of at most a, however often it is evaluated (Howard, Ramdas and others 2021; Johari and others
+2017 describe the mixture for continuously monitored experiments). Residuals are clipped, so that a single
+burst at a router with few requests cannot decide the test.
 
 A state machine without I/O and clock.
 """
@@ -20,23 +21,23 @@
 from math import asin, exp, log, sqrt
 from typing import NamedTuple
 
-MAX_DEVIATION = 2.0  # standard deviations at which a residual is clipped
-MAX_CROSS_ZONE_DEVIATION = 1.25  # the same where zones are compared: one may feel what the other does not
-HARM_FACTORS = (1.0, 2.0, 4.0, 8.0)  # times the least harm: the mixture
-TESTED_HARM_COUNT = 1 + len(HARM_FACTORS)  # the mixture, and the harm that is to be ruled out
-MAX_BASELINE_INTERVALS = 40  # intervals from before the change that are kept
-MISSED_HARM_PROBABILITY = 0.05  # of ruling out a harm that matters, for one metric
-MIN_SPREAD_INTERVALS = 4  # intervals from which a spread is estimated
-MIN_REQUESTS = 5.0  # in an interval, for figures per request
-RECENT_INTERVALS = 5  # whose mean change a reason names
-CONFIDENCE_95_DEVIATIONS = 1.96  # standard errors on each side of an interval of 95%
-EXPORTED_DIGITS = 6  # decimals of the state that is stored
-MAX_ODDS = 1e9  # beyond which odds are not printed in full
+MAX_DEVIATION = 2.0  # residuals are clipped at this number of standard deviations
+MAX_CROSS_ZONE_DEVIATION = 1.25  # tighter clip between zones, as an effect may hit only one of them
+HARM_FACTORS = (1.0, 2.0, 4.0, 8.0)  # harms of the mixture, in multiples of a metric's `min_harm`
+TESTED_HARM_COUNT = 1 + len(HARM_FACTORS)  # the harm to rule out, then those of the mixture
+MAX_BASELINE_INTERVALS = 40  # number of intervals kept from before the change
+MISSED_HARM_PROBABILITY = 0.05  # probability of wrongly ruling out a harm, per metric
+MIN_SPREAD_INTERVALS = 4  # minimum number of intervals to estimate a standard deviation from
+MIN_REQUESTS = 5.0  # minimum number of requests in an interval for a per-request metric
+RECENT_INTERVALS = 5  # a verdict's reason states the mean change over this number of intervals
+CONFIDENCE_95_DEVIATIONS = 1.96  # half-width of a 95% confidence interval in standard errors
+EXPORTED_DIGITS = 6  # decimal places of the exported state
+MAX_ODDS = 1e9  # upper bound of the odds in a verdict's reason
 REQUESTS_LOST = "requests lost"
 
 
 class CanaryStatus(Enum):
-    """What the figures say so far."""
+    """Result of the comparison so far."""
 
     NOT_WORSE = "fine"
     WORSE = "worse"
@@ -45,23 +46,23 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthMetrics:
-    """Figures of one member in one interval; requests are counts."""
+    """Metrics of one member in one interval; request figures are counts."""
 
     served: float = 0.0
     lost: float = 0.0  # refused, failed or late
     cpu_s: float = 0.0
     memory_kib: float = 0.0
-    admin_latency_ms: float = 0.0  # until its admin listener answers
+    admin_latency_ms: float = 0.0  # response time of the admin listener
     missed: float = 0.0  # requests that missed the cache and went on to the origin
 
 
-# a member's interval by metric, in the order of `METRICS`; None where it says nothing
+# a member's values in one interval, in the order of `METRICS`; None where there is too little data
 Measures = tuple[float | None, ...]
 
 
 def _loss_measure(metrics: HealthMetrics) -> float | None:
     requests = metrics.served + metrics.lost
-    # arcsine of the square root: its spread hardly depends on the share (Anscombe 1948)
+    # the arcsine of the square root makes the variance nearly independent of the share (Anscombe 1948)
     return asin(sqrt((metrics.lost + 0.375) / (requests + 0.75))) if requests >= MIN_REQUESTS else None
 
 
@@ -76,11 +77,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """A figure that versions are compared by, on its own scale.
+    """A metric that artifacts are compared by, on its own scale.
 
-    `min_harm` is the least difference that is worth stopping for. `min_spread` bounds the estimate of the
-    standard deviation from below. `prior_variance` says how far two members may differ for good, in variances
-    of one interval.
+    `min_harm` is the smallest difference that justifies a rollback. `min_spread` is a lower bound for the
+    estimated standard deviation. `prior_variance` is the prior variance of a permanent difference between
+    two members, in variances of one interval.
     """
 
     name: str
@@ -90,7 +91,7 @@
 
 
 METRICS = (
-    Metric(REQUESTS_LOST, 0.1, 0.04, 0.25),  # arcsine scale: 0.1 is from 0 to 1%, or from 5 to 10%
+    Metric(REQUESTS_LOST, 0.1, 0.04, 0.25),  # arcsine scale: 0.1 is a rise from 0 to 1% or from 5 to 10%
     Metric("processor time a request", log(1.15), 0.04, 4.0),
     Metric("memory", log(1.25), 0.03, 16.0),
     Metric("time of the door", log(2.0), 0.25, 1.0),
@@ -98,7 +99,7 @@
 
 
 def measure(metrics: HealthMetrics) -> Measures:
-    """Return a member's interval on the scale of each of `METRICS`."""
+    """Return the values of a member's interval on the scales of `METRICS`."""
     return (
         _loss_measure(metrics),
         _cpu_measure(metrics),
@@ -109,20 +110,20 @@
 
 @dataclass(slots=True)
 class _SequentialTest:
-    """The test of one metric: a filter that predicts the difference, and the evidence.
+    """Sequential test of one metric: a filter that predicts the difference, and the evidence for harm.
 
-    The two lists have an entry for each tested harm: first the one to be ruled out, then the mixture.
+    Both lists have an entry for each tested harm: first the harm to rule out, then those of the mixture.
     """
 
     mean: float = 0.0
-    variance: float = 1.0  # of the mean, in variances of one interval
-    absorbed_harms: list[float] = field(default_factory=list)  # part that the filter takes for the baseline
+    variance: float = 1.0  # variance of `mean`, in variances of one interval
+    absorbed_harms: list[float] = field(default_factory=list)  # part absorbed in `mean`, by harm
     log_likelihood_ratios: list[float] = field(default_factory=list)
     baseline_spread: float = 0.0  # standard deviation of the differences before the change
     count: int = 0
 
     def add(self, value: float, spread: float, harms: Sequence[float], max_deviation: float) -> None:
-        """Take the difference of one more interval; `spread` is its standard deviation."""
+        """Add the difference of one interval; `spread` is its standard deviation."""
         scale = spread * sqrt(1.0 + self.variance)
         residual = max(-max_deviation, min(max_deviation, (value - self.mean) / scale))
         gain = self.variance / (1.0 + self.variance)
@@ -138,7 +139,7 @@
         self.count += 1
 
     def log_evidence(self) -> float:
-        """Return the logarithm of the mixture's likelihood ratio."""
+        """Return the logarithm of the likelihood ratio of the mixture."""
         mixture = self.log_likelihood_ratios[1:]
         if not mixture:
             return 0.0
@@ -146,23 +147,23 @@
         return largest + log(sum(exp(ratio - largest) for ratio in mixture) / len(mixture))
 
     def is_harm_ruled_out(self) -> bool:
-        """Return whether a harm that matters is ruled out, at `MISSED_HARM_PROBABILITY`."""
+        """Return whether the first tested harm is ruled out, at `MISSED_HARM_PROBABILITY`."""
         return bool(self.log_likelihood_ratios) and -self.log_likelihood_ratios[0] >= log(
             1.0 / MISSED_HARM_PROBABILITY
         )
 
 
 class ChangeEstimate(NamedTuple):
-    """By how much a metric has changed, on its scale."""
+    """Estimated change of a metric, on its scale."""
 
     mean: float
-    half_width: float  # of its confidence interval of 95%
+    half_width: float  # half-width of the 95% confidence interval
     log_evidence: float  # logarithm of the likelihood ratio for harm
 
 
 @dataclass(frozen=True, slots=True)
 class CanaryVerdict:
-    """What the figures say, and the change of each metric by its name."""
+    """Result of the comparison, with the estimated change of each metric by name."""
 
     status: CanaryStatus
     reason: str  # empty unless the status is WORSE
@@ -170,30 +171,30 @@
 
 
 class _Difference(NamedTuple):
-    """New less old in one interval."""
+    """Difference between changed and unchanged members in one interval."""
 
     value: float
-    spread_factor: float  # its standard deviation, in standard deviations of one member
-    is_cross_zone: bool  # members of different zones had to be compared
+    spread_factor: float  # standard deviation of `value`, in standard deviations of one member
+    is_cross_zone: bool  # members of different zones were compared
 
 
 class _ZoneDifference(NamedTuple):
-    """New less old in one zone."""
+    """Difference between changed and unchanged members in one zone."""
 
     changed_count: int
     value: float
-    variance_factor: float  # its variance, in variances of one member
+    variance_factor: float  # variance of `value`, in variances of one member
 
 
 class CanaryAnalysis:
     """Analysis of one wave.
 
-    Intervals are added one by one; until `begin_comparison` they are the baseline.
+    Intervals that are added before `begin_comparison` form the baseline; later ones are compared with it.
 
     Args:
-        zones: zone by router, of all routers.
-        false_alarm_probability: of taking an equal version for worse, over all metrics of this wave.
-        harm_factor: so many times the least harm may go unseen.
+        zones: zone of each router, by router name.
+        false_alarm_probability: probability of rejecting an equal artifact, over all metrics of this wave.
+        harm_factor: multiple of a metric's `min_harm` that has to be ruled out.
     """
 
     def __init__(
@@ -205,13 +206,13 @@
         self._baseline: list[dict[str, Measures]] = []
         self._changed: frozenset[str] = frozenset()
         self._unchanged: frozenset[str] = frozenset()
-        self._spreads: list[float] = []  # by metric: of one member from interval to interval
+        self._spreads: list[float] = []  # by metric: standard deviation of one member between intervals
         self._tests: list[_SequentialTest] = []  # by metric
         self._differences: list[list[float]] = [[] for _ in METRICS]
 
     def add_interval(self, metrics: Mapping[str, HealthMetrics]) -> None:
-        """Take one interval of the members that were in service throughout it."""
-        measures = {name: measure(member_metrics) for name, member_metrics in metrics.items()}
+        """Add the metrics of one interval, of the members that were in service throughout it."""
+        measures = {name: measure(health_metrics) for name, health_metrics in metrics.items()}
         if not self._changed:
             self._baseline = [*self._baseline[1 - MAX_BASELINE_INTERVALS :], measures]
             return
@@ -235,14 +236,14 @@
         self._differences[index].append(value)
 
     def begin_comparison(self, changed: Iterable[str], unchanged: Iterable[str]) -> None:
-        """Compare members that run the new version from now on with members that do not."""
+        """End the baseline; from now on compare members on the new artifact with unchanged ones."""
         self._changed = frozenset(changed)
         self._unchanged = frozenset(unchanged)
         self._spreads = [self._spread(index) for index in range(len(METRICS))]
         self._tests = [self._new_test(index) for index in range(len(METRICS))]
 
     def _new_test(self, index: int) -> _SequentialTest:
-        """Return a test that begins with the baseline of these members, or with the prior if it is short."""
+        """Return a test that starts from the baseline, or from the prior if the baseline is too short."""
         differences = [self._difference(measures, index) for measures in self._baseline]
         values = [difference.value for difference in differences if difference is not None]
         if len(values) < MIN_SPREAD_INTERVALS:
@@ -252,7 +253,7 @@
         return _SequentialTest(mean, 1.0 / len(values), baseline_spread=spread)
 
     def _difference(self, measures: Mapping[str, Measures], index: int) -> _Difference | None:
-        """Return new less old by zone, weighted by the changed members; None if nothing can be compared."""
+        """Return the difference over all zones, weighted by changed members; None without a pair."""
         differences: list[_ZoneDifference] = []
         is_cross_zone = False
         for zone in {self._zones.get(name, "") for name in self._changed}:
@@ -273,7 +274,7 @@
     def _measures_of(
         self, measures: Mapping[str, Measures], names: Iterable[str], zone: str, index: int
     ) -> list[float]:
-        """Return one metric of some members of a zone; of all zones if it is empty."""
+        """Return one metric of the named members in a zone; in all zones if `zone` is empty."""
         values = []
         for name in names:
             value = measures[name][index] if name in measures else None
@@ -282,7 +283,7 @@
         return values
 
     def export_state(self) -> tuple[float, ...]:
-        """Return all that another analysis of the same wave needs to go on, for `resume`."""
+        """Return the state from which `resume` continues the analysis of the same wave."""
         state: list[float] = []
         for spread, test in zip(self._spreads, self._tests, strict=True):
             state += [spread, test.mean, test.variance, test.baseline_spread, float(test.count)]
@@ -291,7 +292,7 @@
         return tuple(round(value, EXPORTED_DIGITS) for value in state)
 
     def resume(self, changed: Iterable[str], unchanged: Iterable[str], state: Sequence[float]) -> None:
-        """Go on from an exported state; begin anew if it is of another form."""
+        """Continue from an exported state; start anew if its length does not match."""
         self.begin_comparison(changed, unchanged)
         size = 5 + 2 * TESTED_HARM_COUNT
         if len(state) != size * len(METRICS):
@@ -308,7 +309,7 @@
             )
 
     def _spread(self, index: int) -> float:
-        """Return one member's standard deviation between intervals, without what its whole zone felt."""
+        """Return the standard deviation of one member between intervals, without zone-wide effects."""
         squares = 0.0
         degrees_of_freedom = 0
         for zone in set(self._zones.values()):
@@ -325,7 +326,7 @@
         return sqrt(squares / degrees_of_freedom)
 
     def _zone_values(self, measures: Mapping[str, Measures], zone: str, index: int) -> dict[str, float]:
-        """Return one metric by member of a zone; empty if there are less than two to compare."""
+        """Return one metric of a zone's members by name; empty with fewer than two members."""
         row: dict[str, float] = {}
         for name, member_measures in measures.items():
             value = member_measures[index]
@@ -334,21 +335,21 @@
         return row if len(row) > 1 else {}
 
     def verdict(self) -> CanaryVerdict:
-        """Return what the figures say so far."""
+        """Return the result of the comparison so far."""
         changes: dict[str, ChangeEstimate] = {}
         reason = ""
-        bar = log(len(METRICS) / self._false_alarm_probability)
-        enough = bool(self._tests)
+        evidence_threshold = log(len(METRICS) / self._false_alarm_probability)
+        is_all_harm_ruled_out = bool(self._tests)
         for metric, test, differences in zip(METRICS, self._tests, self._differences, strict=False):
             evidence = test.log_evidence()
             changes[metric.name] = _estimate_change(differences, evidence)
-            if evidence >= bar:
+            if evidence >= evidence_threshold:
                 odds = f"evidence {min(exp(evidence), MAX_ODDS):.0f} to 1"
                 reason = reason or f"{metric.name}: {_describe_change(metric, differences)}, {odds}"
-            enough = enough and test.is_harm_ruled_out()
+            is_all_harm_ruled_out = is_all_harm_ruled_out and test.is_harm_ruled_out()
         if reason:
             return CanaryVerdict(CanaryStatus.WORSE, reason, changes)
-        status = CanaryStatus.NOT_WORSE if enough else CanaryStatus.INCONCLUSIVE
+        status = CanaryStatus.NOT_WORSE if is_all_harm_ruled_out else CanaryStatus.INCONCLUSIVE
         return CanaryVerdict(status, reason, changes)
 
 
--- a/rosepick/fleet/deployer.py
+++ b/rosepick/fleet/deployer.py
@@ -1,9 +1,9 @@
-"""One member's part in rollouts, as a state machine without I/O and clock beside that of its agent.
+"""The deployer changes the artifacts of one member in rollouts: a state machine without I/O and clock.
 
-A new build is prepared on the host while the member serves. The member then leaves under a drain permit like
-any other, is started with the new build, and goes back to the one before if that does not become healthy: at
-once and without asking anyone. Each step is on the disk before it is taken. Settings are changed in place,
-without a permit.
+It runs beside the member's agent. It prepares a new build on the host while the member serves. The member
+then leaves under a drain permit as in any other drain, and starts with the new build. If the member does not
+become healthy, the deployer restores the previous build immediately, without a decision of the rollout
+leader. Each step is saved to the disk before it is taken. Settings are changed in place, without a permit.
 
 Times are milliseconds of the agent's own clock, unless their name ends in `_s`.
 """
@@ -28,25 +28,25 @@
     RolloutState,
 )
 
-MAX_ROLLOUT_STATE_AGE_MS = 2_000.0  # a member changes its version only by a rollout state that is no older
+MAX_ROLLOUT_STATE_AGE_MS = 2_000.0  # a member changes no artifact by an older rollout state
 ARTIFACT_KINDS = (BUILD, SETTINGS)
 
 
 class FailureCause(Enum):
-    """Why an artifact is not in use on this host."""
+    """What prevents an artifact from running on this host."""
 
     NONE = ""
-    ARTIFACT = "version"  # it is damaged, does not start, or does not become healthy
-    HOST = "host"  # it could not be fetched: no space, no source
+    ARTIFACT = "version"  # the artifact is damaged, does not start, or does not become healthy
+    HOST = "host"  # the host cannot fetch it: the disk is full or the source is missing
 
 
 @dataclass(frozen=True, slots=True)
 class DeployPolicy:
     """Durations and limits of a deployment; times in milliseconds.
 
-    `min_healthy_ms`: a new build serves for so long before its permit ends. `probation_ms`: it has so long to
-    become healthy. `max_exits`: after so many exits by itself in that time it is rolled back.
-    `retry_interval_ms`: how long a host waits until it tries to fetch an artifact again.
+    `min_healthy_ms`: time for which a new build has to serve before its permit ends. `probation_ms`: time
+    within which a new artifact has to become healthy. `max_exits`: number of unrequested exits during the
+    probation that cause a rollback. `retry_interval_ms`: time between attempts to fetch an artifact.
     """
 
     min_healthy_ms: float = 10_000.0
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ArtifactStatus:
-    """How far an artifact is prepared on this host."""
+    """Progress of preparing an artifact on this host."""
 
     is_ready: bool = False
     cause: FailureCause = FailureCause.NONE
@@ -65,7 +65,7 @@
 
 
 class DeployFailure(NamedTuple):
-    """Why a member does not run an artifact, as its health report says it in one line of text."""
+    """Reason why a member does not run an artifact; a health report holds it as one line of text."""
 
     kind: str
     digest: str
@@ -73,27 +73,27 @@
     reason: str
 
     def format(self) -> str:
-        """Return the text of a health report."""
+        """Return the failure as one line for a health report."""
         return f"{self.kind} {self.digest} {self.cause} {self.reason}"
 
     @classmethod
     def parse(cls, text: str) -> DeployFailure:
-        """Return the failure in a health report; all fields are empty if there is none."""
+        """Return the failure in the text of a health report; all fields are empty if there is none."""
         kind, digest, cause, reason = (text + "   ").split(" ", 3)
         return cls(kind, digest, cause, reason.strip())
 
 
 class StateStore(Protocol):
-    """Durable storage of what an agent is doing, by name."""
+    """Durable key-value storage of an agent."""
 
     def get(self, name: str) -> object:
-        """Return what was stored under a name; None if nothing was."""
+        """Return the value stored under a name; None if there is none."""
 
     def put(self, **more: object) -> None:
-        """Store values under their names.
+        """Store values under their names; they are on the disk when this returns.
 
         Raises:
-            OSError: they could not be written; on return they are on the disk.
+            OSError: the values cannot be written.
         """
 
 
@@ -101,18 +101,18 @@
     """The artifacts on this host."""
 
     def prepare(self, kind: str, artifact: Artifact) -> ArtifactStatus:
-        """Return how far an artifact is; begin whatever is missing."""
+        """Start preparing an artifact if needed, and return its progress."""
 
     def apply_settings(self, kind: str, digest: str) -> None:
-        """Have the member use these settings from now on."""
+        """Apply settings to the running member."""
 
     def remove_except(self, needed: Iterable[str]) -> None:
-        """Remove the artifacts whose digests are not needed any more."""
+        """Remove the artifacts whose digests are not in `needed`."""
 
 
 @dataclass(frozen=True, slots=True)
 class _FailedDeployment:
-    """The last failure with an artifact of one kind."""
+    """The last failed deployment of one kind of artifact."""
 
     digest: str
     rollout_number: int
@@ -121,10 +121,10 @@
 
 
 class Deployer:
-    """One member's part in rollouts.
+    """State machine that changes the artifacts of one member.
 
-    `active_digests` are the digests of what the member runs, by kind; those that are stored take precedence
-    over those that are given.
+    `active_digests` holds the digest of the member's artifact of each kind. Stored digests take precedence
+    over the parameter.
     """
 
     def __init__(
@@ -143,18 +143,18 @@
         self.active_digests: dict[str, str] = dict(stored if isinstance(stored, dict) else active_digests)
         stored = store.get("before")
         self.previous_digests: dict[str, str] = dict(stored) if isinstance(stored, dict) else {}
-        self.probation_kind = str(store.get("trial") or "")  # the kind of artifact that is on probation
+        self.probation_kind = str(store.get("trial") or "")  # kind on probation, or empty
         self.rollout_state: RolloutState | None = None
         self.runs_wrong_build = False
         self._state_read_at = -MAX_ROLLOUT_STATE_AGE_MS - 1.0
         self._probation_since: float | None = None
         self._exit_count = 0
-        self._failures = _load_failures(store)  # by kind; not tried again after a restart of the agent
+        self._failures = _load_failures(store)  # by kind; outlive a restart of the agent
 
-    # -- what is to be run
+    # -- the artifacts to run
 
     def update_state(self, rollout_state: RolloutState, asked_at: float) -> None:
-        """Take the rollout state, as it was at some time since `asked_at`."""
+        """Store the rollout state, which was read at `asked_at` or later."""
         is_closed = (
             self.rollout_state is not None
             and self.rollout_state.open_rollout is not None
@@ -173,7 +173,7 @@
         return None if self.rollout_state is None else self.rollout_state.artifact_for(self.name, kind)
 
     def _pending_artifact(self, kind: str, now: float) -> Artifact | None:
-        """Return what this member is to run and does not; None while it may not or cannot."""
+        """Return the artifact that this member has to change to; None if there is none or it must wait."""
         target = self._target(kind)
         state = self.rollout_state
         if target is None or state is None:
@@ -186,7 +186,7 @@
         return target
 
     def _has_failed(self, kind: str, target: Artifact, rollout_number: int, now: float) -> bool:
-        """Return whether an artifact has failed here in this rollout and is not due to be tried again."""
+        """Return whether an artifact failed here in this rollout and no retry is due."""
         failure = self._failures.get(kind)
         if failure is None or (failure.digest, failure.rollout_number) != (target.digest, rollout_number):
             return False
@@ -211,7 +211,7 @@
             self._store.put(refused=stored)
 
     def describe_failure(self) -> str:
-        """Return why this member does not run what it is to run, for its health report; empty if it does."""
+        """Return why this member does not run its target, for the health report; empty if it does."""
         for kind in ARTIFACT_KINDS:
             failure = self._failures.get(kind)
             target = self._target(kind)
@@ -225,12 +225,12 @@
         return ""
 
     def is_under_analysis(self) -> bool:
-        """Return whether the member runs the new artifact of an open rollout, whose leader judges it."""
+        """Return whether the member runs the new artifact of the open rollout, under canary analysis."""
         rollout = None if self.rollout_state is None else self.rollout_state.open_rollout
         return rollout is not None and self.active_digests.get(rollout.kind) == rollout.new.digest
 
     def has_pending_work(self, now: float) -> bool:
-        """Return whether the rollout state is to be read often, as something has to be done by it."""
+        """Return whether work is pending that needs frequent reads of the rollout state."""
         return (
             bool(self.probation_kind)
             or self.runs_wrong_build
@@ -249,20 +249,22 @@
     ) -> RegisterChange | None:
         """Return the change of the fleet state that is due, if any.
 
-        A drain is requested if a build is due and prepared here, and cancelled if none is due any more.
+        The change requests a drain if a new build is prepared, or cancels the request if none is needed.
         """
         due = self._pending_artifact(BUILD, now)
-        needs = due is not None or (self.runs_wrong_build and phase in (MemberPhase.IN, MemberPhase.GIVEN))
+        needs_drain = due is not None or (
+            self.runs_wrong_build and phase in (MemberPhase.IN, MemberPhase.GIVEN)
+        )
         is_prepared = due is None or self._is_prepared(BUILD, due, now)
         request = own_member.drain_request
-        if phase == MemberPhase.IN and request is None and needs and is_prepared:
+        if phase == MemberPhase.IN and request is None and needs_drain and is_prepared:
             return self._request_drain(due, state, wall_time_s)
-        fresh = self._is_state_fresh(now)
+        is_fresh = self._is_state_fresh(now)
         if (
             request is not None
             and request.actor.startswith(ROLLOUT_ACTOR_PREFIX)
-            and not needs
-            and fresh
+            and not needs_drain
+            and is_fresh
             and phase in (MemberPhase.IN, MemberPhase.GIVEN, MemberPhase.OUT)
         ):
             return fleet_state.cancel_drain([self.name], self.name, wall_time_s, requested_by=request.actor)
@@ -271,7 +273,7 @@
     def _request_drain(
         self, due: Artifact | None, state: FleetState, wall_time_s: float
     ) -> RegisterChange | None:
-        """Return the request to leave for a build; None during a halt, unless it is a rollback."""
+        """Return the drain request for a new build; None during a halt, except in a rollback."""
         assert self.rollout_state is not None
         rollout = self.rollout_state.open_rollout
         is_rollback = rollout is not None and rollout.phase == RolloutPhase.ROLLBACK
@@ -290,47 +292,47 @@
         is_healthy: bool,
         runs_wrong_build: bool = False,
     ) -> None:
-        """Take the steps that are due: probation, a build while the member is out, settings while it is in.
+        """Check the probation, or change the build of a member that is out or the settings of one that is in.
 
-        `has_exited`: the member has exited by itself since the last call. `runs_wrong_build`: it runs another
-        build than it is meant to, as it was healthy again at the very moment of its rollback.
+        `has_exited`: the member has exited without a request since the last call. `runs_wrong_build`: the
+        running build is not the intended one. This happens if the permit ends while the build is rolled back.
         """
         self.runs_wrong_build = runs_wrong_build
         if self.probation_kind:
             self._check_probation(now, phase, has_exited, is_healthy)
             return
         due = self._pending_artifact(BUILD, now)
-        fresh = self._is_state_fresh(now)
-        if phase == MemberPhase.OUT and due is not None and fresh and self._is_prepared(BUILD, due, now):
+        is_fresh = self._is_state_fresh(now)
+        if phase == MemberPhase.OUT and due is not None and is_fresh and self._is_prepared(BUILD, due, now):
             self._activate(BUILD, due.digest, now)
         due = self._pending_artifact(SETTINGS, now)
-        may_change = phase == MemberPhase.IN and is_healthy and fresh
+        may_change = phase == MemberPhase.IN and is_healthy and is_fresh
         if may_change and due is not None and self._is_prepared(SETTINGS, due, now):
             self._activate(SETTINGS, due.digest, now)
             self._artifacts.apply_settings(SETTINGS, due.digest)
 
     def _activate(self, kind: str, digest: str, now: float) -> None:
-        """Store what is to be run from now on.
+        """Store the artifact to run from now on.
 
-        There is no probation in a rollback: what the member would go back to is the worse artifact.
+        There is no probation in a rollback, as the previous artifact is the one that is being rolled back.
         """
-        open_one = self._open_rollout(kind)
-        trial = "" if open_one is not None and open_one.phase == RolloutPhase.ROLLBACK else kind
-        before = self.active_digests.get(kind, "")
+        rollout = self._open_rollout(kind)
+        probation_kind = "" if rollout is not None and rollout.phase == RolloutPhase.ROLLBACK else kind
+        previous_digest = self.active_digests.get(kind, "")
         if (
-            open_one is not None
-            and open_one.old.digest != before
-            and self._is_prepared(kind, open_one.old, now)
+            rollout is not None
+            and rollout.old.digest != previous_digest
+            and self._is_prepared(kind, rollout.old, now)
         ):
-            before = open_one.old.digest  # not what an earlier rollout may have left here
+            previous_digest = rollout.old.digest  # not one that an earlier rollout left on this host
         self._store.put(
             runs={**self.active_digests, kind: digest},
-            before={**self.previous_digests, kind: before},
-            trial=trial,
+            before={**self.previous_digests, kind: previous_digest},
+            trial=probation_kind,
         )
         self.active_digests[kind] = digest
-        self.previous_digests[kind] = before
-        self.probation_kind = trial
+        self.previous_digests[kind] = previous_digest
+        self.probation_kind = probation_kind
         self._probation_since = None
         self._exit_count = 0
 
@@ -339,7 +341,7 @@
         return rollout if rollout is not None and rollout.kind == kind else None
 
     def _check_probation(self, now: float, phase: MemberPhase, has_exited: bool, is_healthy: bool) -> None:
-        """End the probation, or roll back; probation begins when the member is to run again."""
+        """End the probation or roll back; the probation starts when the member may run again."""
         if phase in (MemberPhase.LEAVING, MemberPhase.OUT):
             return
         if self._probation_since is None:
@@ -348,7 +350,7 @@
         target = self._target(self.probation_kind)
         previous_digest = self.previous_digests.get(self.probation_kind)
         if target is not None and target.digest == previous_digest and self._is_state_fresh(now):
-            self._roll_back(now, "")  # the rollout goes back; the artifact has not failed here
+            self._roll_back(now, "")  # the rollout is rolled back; the artifact did not fail on this host
             return
         elapsed_ms = now - self._probation_since
         needs_no_more_time = self.probation_kind == BUILD or elapsed_ms > self.policy.min_healthy_ms
@@ -361,11 +363,11 @@
             self._roll_back(now, f"it does not serve after {self.policy.probation_ms / 1000:.0f} s")
 
     def _roll_back(self, now: float, reason: str) -> None:
-        """Go back to the artifact before; with a reason, record that this one has failed."""
+        """Restore the previous artifact; with a reason, record that the current one failed."""
         kind = self.probation_kind
         failed_digest = self.active_digests[kind]
         previous_digest = self.previous_digests.get(kind, "")
-        # outside a rollout it is the baseline of the whole fleet, which is tried again later
+        # outside a rollout the artifact is the fleet's baseline, which has to be retried
         cause = FailureCause.HOST if self._open_rollout(kind) is None else FailureCause.ARTIFACT
         if reason:
             self._record_failure(kind, failed_digest, ArtifactStatus(False, cause, reason), now)
@@ -377,7 +379,7 @@
 
 
 def _load_failures(store: StateStore) -> dict[str, _FailedDeployment]:
-    """Return the artifacts that were stored as failed on this host, by kind."""
+    """Return the stored failures of artifacts on this host, by kind."""
     stored = store.get("refused")
     if not isinstance(stored, dict):
         return {}
--- a/rosepick/fleet/disruption_budget.py
+++ b/rosepick/fleet/disruption_budget.py
@@ -1,9 +1,10 @@
-"""The disruption budget: how many members may be out, and who may leave next.
+"""The disruption budget: how many members may be out, and which member may leave next.
 
-Limits are by count, by share and by weight, in all and in each zone. Besides there is a minimum that stays in
-a zone, hours without drains, and groups whose members are never out together. A limit covers members that are
-out for any reason: what failed by itself counts first and can use up the whole budget. Short capacity of the
-origin makes the limits of cache nodes smaller, down to a floor, never larger.
+It limits the members that are out by count, share and weight, in the whole fleet and in each zone. It also
+sets a minimum of members that stay in each zone, closed hours without drains, and anti-affinity groups whose
+members are never out together. A limit covers members that are out for any reason: failed members count first
+and can use up the whole budget. Reduced capacity of the origin lowers the limits of cache nodes down to a
+minimum and never raises them.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 FULL_CAPACITY_PERMILLE = 1000
 MAX_NAMES_LISTED = 4
 DIGEST_BYTES = 6
-SHARE_TOLERANCE = 1e-9  # a share that is meant to be whole is not rounded down
+SHARE_TOLERANCE = 1e-9  # keeps floor() from losing one to a floating-point error
 KIND_LABELS = {MemberKind.ROUTER: "routers", MemberKind.CACHE: "cache nodes"}
 
 
@@ -39,15 +40,15 @@
     zone_most: int = 1_000
     zone_share: float = 1.0
     zone_weight: float = 1.0
-    stay: int = 1  # so many members stay in each zone
-    least: int = 1  # short capacity makes no limit smaller than this
+    stay: int = 1  # minimum number of members that stay in each zone
+    least: int = 1  # reduced capacity of the origin lowers no limit below this
 
     def max_out_in_zone(self, member_count: int, capacity_permille: int) -> int:
-        """Return how many of a zone's members may be out at the origin's present capacity."""
+        """Return how many of a zone's members may be out at a capacity of the origin in thousandths."""
         return _max_out(self.zone_most, self.zone_share, capacity_permille, self.least, member_count)
 
     def max_out_overall(self, member_count: int) -> int:
-        """Return how many of all members may be out at full capacity of the origin."""
+        """Return how many members of the whole fleet may be out at full capacity of the origin."""
         return _max_out(self.most, self.share, FULL_CAPACITY_PERMILLE, self.least, member_count)
 
 
@@ -56,27 +57,28 @@
 
 @dataclass(frozen=True, slots=True)
 class DisruptionBudget:
-    """The limits for all kinds of members, and what else keeps members in.
+    """The limits for all kinds of members, closed hours and anti-affinity groups.
 
-    `closed_minutes`: intervals of minutes of the day (UTC), from and to, in which no member leaves; one may
-    pass midnight. `anti_affinity_groups`: names by group; members of a group are not out together.
+    `closed_minutes`: intervals of minutes of the day (UTC), as begin and end, in which no member leaves; an
+    interval may cross midnight. `anti_affinity_groups`: member names by group; at most one member of a group
+    is out.
     """
 
     routers: Limit = DEFAULT_LIMIT
     caches: Limit = DEFAULT_LIMIT
     closed_minutes: tuple[tuple[int, int], ...] = ()
     anti_affinity_groups: Mapping[str, Sequence[str]] = field(default_factory=dict)
-    unplanned_allowance: int = 0  # so many more than a limit may be lost before drains are halted
-    rollback_routers: Limit | None = None  # for routers in a rollback; None: as for other drains
+    unplanned_allowance: int = 0  # members that may be lost beyond a limit before drains are halted
+    rollback_routers: Limit | None = None  # limit for routers in a rollback; None: `routers` applies
 
     def limit_for(self, kind: int, uses_rollback_limit: bool = False) -> Limit:
-        """Return the limit for a kind of members, in a rollback or in other drains."""
+        """Return the limit for a kind of member, in a rollback or in any other drain."""
         if uses_rollback_limit and kind == MemberKind.ROUTER and self.rollback_routers is not None:
             return self.rollback_routers
         return self.routers if kind == MemberKind.ROUTER else self.caches
 
     def digest(self) -> str:
-        """Return a digest by which agents see whether they use the same budget."""
+        """Return a digest by which agents verify that they use the same budget."""
         groups = sorted((group, sorted(names)) for group, names in self.anti_affinity_groups.items())
         text = repr((self.routers, self.caches, self.closed_minutes, groups, self.unplanned_allowance))
         if self.rollback_routers is not None:
@@ -85,7 +87,7 @@
 
 
 class _Scope(NamedTuple):
-    """Members that a limit counts together, and the limit."""
+    """A set of members and the limits that apply to it."""
 
     label: str
     members: Mapping[str, FleetMember]
@@ -95,13 +97,13 @@
 
 
 def _max_out(limit: int, share: float, capacity_permille: int, minimum: int, member_count: int) -> int:
-    """Return how many of `member_count` may be out; a share allows one at least, else none could leave."""
+    """Return how many of `member_count` members may be out; a share always allows at least one."""
     stated = min(limit, max(1, floor(share * member_count + SHARE_TOLERANCE)))
     return min(stated, max(minimum, stated * capacity_permille // FULL_CAPACITY_PERMILLE))
 
 
 def blocking_reasons(fleet_state: FleetState, budget: DisruptionBudget, name: str, minute: int) -> list[str]:
-    """Return why a member may not leave now; empty if it may. `minute` is the minute of the day, UTC."""
+    """Return why a member may not leave now; empty if it may. `minute` is the minute of the day (UTC)."""
     member = fleet_state.members[name]
     request = member.drain_request
     reasons: list[str] = []
@@ -118,7 +120,7 @@
 
 
 def _closed_hours(budget: DisruptionBudget, minute: int) -> list[str]:
-    """Return the intervals without drains that a minute of the day is in."""
+    """Return a reason for each closed interval that contains the minute of the day."""
     return [
         f"nothing goes from {begin // 60:02}:{begin % 60:02} to {end // 60:02}:{end % 60:02}"
         for begin, end in budget.closed_minutes
@@ -127,7 +129,7 @@
 
 
 def _anti_affinity_violations(fleet_state: FleetState, budget: DisruptionBudget, name: str) -> list[str]:
-    """Return the groups of a member from which others are out."""
+    """Return a reason for each anti-affinity group of the member that has another member out."""
     reasons = []
     for group, names in budget.anti_affinity_groups.items():
         others = [other for other in names if other != name and other in fleet_state.members]
@@ -144,7 +146,7 @@
 def _minimum_violations(
     fleet_state: FleetState, budget: DisruptionBudget, name: str, candidate: FleetMember
 ) -> list[str]:
-    """Return whether too few members would stay in the candidate's zone, in words."""
+    """Return a reason if too few members would stay in the candidate's zone."""
     stay = budget.limit_for(candidate.kind, candidate.bypasses_halt).stay
     label = KIND_LABELS[MemberKind(candidate.kind)]
     in_zone = _members_in_zone(fleet_state.members_of(candidate.kind), candidate.zone)
@@ -157,10 +159,10 @@
 def _limit_violations(
     fleet_state: FleetState, budget: DisruptionBudget, name: str, candidate: FleetMember
 ) -> list[str]:
-    """Return the limits that would be exceeded, in words.
+    """Return a reason for each limit that the candidate would exceed.
 
-    This holds for a lost candidate too: it may be healthy again at this very moment, and would then be taken
-    out beside others.
+    The limits apply to a lost candidate too: it may have recovered since its last health report, and its
+    drain would then take out a healthy member.
     """
     limit = budget.limit_for(candidate.kind, candidate.bypasses_halt)
     all_members = fleet_state.members_of(candidate.kind)
@@ -195,8 +197,8 @@
 def may_take_permit(budget: DisruptionBudget, minute: int, fleet_state: FleetState, name: str) -> bool:
     """Return whether a member may take a permit now.
 
-    Earlier drain requests come first: each of them that could be granted counts as out before the next one
-    is considered.
+    Earlier drain requests have precedence: each of them that could be granted counts as out when the next
+    one is checked.
     """
     request = fleet_state.members[name].drain_request
     if request is not None and request.immediate:
@@ -213,10 +215,10 @@
 
 
 def unplanned_halt_reason(fleet_state: FleetState, budget: DisruptionBudget) -> str:
-    """Return why drains have to be halted; empty if they need not.
+    """Return why drains have to be halted; empty if no halt is needed.
 
-    They are halted if more members are lost than a limit and `unplanned_allowance` permit. Members that were
-    never healthy do not count: a fleet that is only starting has not failed.
+    Drains are halted if more members are lost than a limit plus `unplanned_allowance`. Members that were
+    never healthy do not count, as they belong to a fleet that is still starting.
     """
     for kind, label in KIND_LABELS.items():
         limit = budget.limit_for(kind)
--- a/rosepick/fleet/drain_permits.py
+++ b/rosepick/fleet/drain_permits.py
@@ -1,7 +1,7 @@
-"""Changes of a drain permit: from the moment it is granted until its member is healthy again.
+"""Changes of a drain permit, from the grant until the member is healthy again.
 
-Each change names the permit that it is made under. It is rejected if the member holds another permit by now
-or is in another phase, so that an agent which was paused cannot go on with an old permit.
+Each change names its permit. It is rejected if the member holds another permit or is in another phase, so
+that an agent which was paused cannot continue under an old permit.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     """Return a member that holds this permit and is in one of these phases.
 
     Raises:
-        ChangeRejectedError: it holds another permit, is in another phase, is unknown or evicted.
+        ChangeRejectedError: the member holds another permit, is in another phase, is unknown or evicted.
     """
     member = state.members.get(name)
     if member is None or member.permit != permit or member.phase not in phases or member.evicted:
@@ -42,9 +42,9 @@
 def acquire_permit(
     name: str, is_allowed: Callable[[FleetState, str], bool], timestamp_s: float
 ) -> RegisterChange:
-    """Grant a permit if `is_allowed` says so of the very state that is replaced.
+    """Grant a permit if `is_allowed` accepts the fleet state that the change replaces.
 
-    Rejected without a drain request, and if the member already holds a permit.
+    The change is rejected without a drain request, and if the member already holds a permit.
     """
 
     def update(state: FleetState) -> FleetState:
@@ -61,9 +61,9 @@
 
 
 def begin_drain(name: str, permit: int, timestamp_s: float) -> RegisterChange:
-    """Begin a drain: from here on the permit ends only when its member is healthy again.
+    """Begin a drain; afterwards the permit ends only when its member is healthy again or evicted.
 
-    Rejected during a halt, and if the drain request was cancelled.
+    The change is rejected during a halt, and if the drain request was cancelled.
     """
 
     def update(state: FleetState) -> FleetState:
@@ -78,7 +78,7 @@
 
 
 def withdraw_permit(name: str, permit: int, timestamp_s: float) -> RegisterChange:
-    """End a permit under which nothing has begun."""
+    """End a permit under which no drain has begun."""
 
     def update(state: FleetState) -> FleetState:
         member = _require_member(state, name, permit, MemberPhase.GIVEN)
@@ -90,17 +90,17 @@
 
 
 def mark_out(name: str, permit: int, timestamp_s: float) -> RegisterChange:
-    """Record that a leaving member has stopped."""
+    """Record that a leaving member is out."""
     return _move_member(name, permit, timestamp_s, MemberPhase.OUT, MemberPhase.LEAVING)
 
 
 def mark_rejoining(name: str, permit: int, timestamp_s: float) -> RegisterChange:
-    """Record that a member which was leaving or out is being started again."""
+    """Record that a member which was leaving or out is rejoining."""
     return _move_member(name, permit, timestamp_s, MemberPhase.BACK, MemberPhase.LEAVING, MemberPhase.OUT)
 
 
 def mark_healthy(name: str, permit: int, timestamp_s: float) -> RegisterChange:
-    """Record that a member is healthy again: its permit and its drain request end."""
+    """Record that a member is healthy again, and end its permit and its drain request."""
 
     def update(state: FleetState) -> FleetState:
         member = _require_member(state, name, permit, MemberPhase.BACK)
--- a/rosepick/fleet/failure_detector.py
+++ b/rosepick/fleet/failure_detector.py
@@ -1,9 +1,10 @@
-"""The failure detector: which members are lost, what the origin can bear, and whether to halt drains.
+"""The failure detector finds lost members, estimates the origin's capacity and decides on a halt of drains.
 
-It runs in the agent that holds the group's lease and reads the health reports of all agents. A report is the
-worse of what the member says and what its agent observes; a report that no longer changes is a silent member.
+It runs in the agent that holds the group's lease and reads the health reports of all agents. A report states
+the worse of the member's own report and its agent's observation. A member whose report no longer changes is
+lost.
 
-A state machine without I/O and clock; times are milliseconds of the detector's own clock.
+The detector is a state machine without I/O and clock; times are milliseconds of its own clock.
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 from .disruption_budget import FULL_CAPACITY_PERMILLE, DisruptionBudget, unplanned_halt_reason
 from .fleet_state import REGISTER_PREFIX, FleetMember, FleetState, MemberKind, MemberPhase
 
-MAX_CANDIDATES = 3  # members whose agents compete for the lease
-SUSTAINED_LOAD_FACTOR = 0.9  # of the misses at which the origin was short
-SUSTAINED_LOAD_GROWTH = 1.01  # each time that few requests are refused
+MAX_CANDIDATES = 3  # number of agents that compete for the lease
+SUSTAINED_LOAD_FACTOR = 0.9  # multiplies the miss rate at which the origin was overloaded
+SUSTAINED_LOAD_GROWTH = 1.01  # multiplies the sustained miss rate in each sweep with few refusals
 
 
 class HealthReport(msgspec.Struct, frozen=True, array_like=True):
-    """An agent's report on its member; figures are per second since the report before."""
+    """An agent's report on its member; request figures and `cpu` are per second since the last report."""
 
-    run_id: int  # random, chosen when the agent starts
-    sequence: int  # grows by one with each report
+    run_id: int  # random number that the agent draws when it starts
+    sequence: int  # increases by one with each report
     serving: bool
     warm: bool = True
     served: float = 0.0
@@ -35,23 +36,23 @@
     misses: float = 0.0
     cpu: float = 0.0  # CPU seconds per second
     memory: float = 0.0  # KiB
-    door: float = 0.0  # milliseconds until the member's admin listener answers
-    exit_count: int = 0  # how often the member has exited by itself
-    build: str = ""  # digest of the build that it runs
-    settings: str = ""  # digest of its settings
-    deploy_error: str = ""  # why it does not run what it is meant to run
+    door: float = 0.0  # response time of the member's admin listener in milliseconds
+    exit_count: int = 0  # exits of the member that its agent did not request
+    build: str = ""  # digest of the running build
+    settings: str = ""  # digest of the settings in use
+    deploy_error: str = ""  # why the member does not run its target; empty if it does
 
 
 _decoder: msgspec.msgpack.Decoder[HealthReport] = msgspec.msgpack.Decoder(HealthReport)
 
 
 def health_report_key(group: str, name: str) -> str:
-    """Return the name of the register that holds a member's report."""
+    """Return the key of the register that holds a member's report."""
     return f"{REGISTER_PREFIX}{group}/at/{name}"
 
 
 def decode_health_report(register: Register) -> HealthReport | None:
-    """Return the report in a register; None if there is none that this program can read."""
+    """Return the report in a register; None if it is empty or cannot be decoded."""
     try:
         return _decoder.decode(register.value) if register.value else None
     except msgspec.MsgspecError:
@@ -62,9 +63,9 @@
 class FailureDetectorPolicy:
     """Thresholds of a failure detector.
 
-    `report_timeout_ms`: a member whose report does not change for so many milliseconds is lost. Below a share
-    of `low_refusal_share` of refused requests the origin has capacity left; above `high_refusal_share` it is
-    overloaded.
+    `report_timeout_ms`: time in milliseconds after which a member with an unchanged report is lost. The
+    origin has spare capacity if the share of refused requests is below `low_refusal_share`, and is overloaded
+    above `high_refusal_share`.
     """
 
     report_timeout_ms: float = 6_000.0
@@ -73,26 +74,26 @@
 
 
 class StoreCapacityEstimator:
-    """Estimate of how many cache nodes the origin can do without.
+    """Estimates how many cache nodes may be out without overloading the origin.
 
-    The misses that one more absent cache node would cause are compared with the misses that the origin has
-    sustained. Nothing is known of these before the origin was overloaded once; then they are 0.9 of what it
-    had at that time, and grow by a hundredth whenever few requests are refused (decrease fast, increase
-    slowly: Chiu and Jain 1989).
+    It compares the misses that one more absent cache node would cause with the miss rate that the origin
+    sustains. This rate is unknown until the first overload. It is then 0.9 of the miss rate during the
+    overload, and grows by a hundredth whenever few requests are refused (multiplicative decrease and slow
+    increase: Chiu and Jain 1989).
     """
 
     def __init__(self, policy: FailureDetectorPolicy) -> None:
         self._policy = policy
-        self.sustained_misses_per_s: float | None = None  # None: not known yet
+        self.sustained_misses_per_s: float | None = None  # None until the first overload
 
     def capacity_permille(self, reports: list[tuple[int, HealthReport]], max_out: int) -> int:
-        """Return the capacity in thousandths of the stated limit of `max_out` cache nodes.
+        """Return the capacity in thousandths of the configured limit of `max_out` cache nodes.
 
-        `reports` are the kinds and the last reports of the members that are not lost.
+        `reports` contains the kind and the last report of each member that is not lost.
         """
         routers = [report for kind, report in reports if kind == MemberKind.ROUTER]
-        lost = sum(report.refused + report.failed for report in routers)
-        refusal_share = lost / max(lost + sum(report.served for report in routers), 1e-9)
+        lost_per_s = sum(report.refused + report.failed for report in routers)
+        refusal_share = lost_per_s / max(lost_per_s + sum(report.served for report in routers), 1e-9)
         caches = [report for kind, report in reports if kind == MemberKind.CACHE and report.serving]
         misses = sum(report.misses for report in caches)
         if refusal_share > self._policy.high_refusal_share:
@@ -111,28 +112,28 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthSummary:
-    """What a failure detector has to write into the fleet state."""
+    """The results of a sweep that the failure detector writes into the fleet state."""
 
-    lost: dict[str, bool]  # members whose state is known
+    lost: dict[str, bool]  # whether a member is lost, for members whose state is known
     capacity_permille: int
-    typical_hit_permille: int  # hits in thousandths of a cache node's reads
+    typical_hit_permille: int  # median hit ratio of warm cache nodes in thousandths
     is_complete: bool  # the state of every member is known
     halt_reason: str  # empty: no halt is needed
 
 
 class FailureDetector:
-    """Collects health reports for as long as its process holds the lease."""
+    """Collects health reports while its process holds the lease."""
 
     def __init__(self, budget: DisruptionBudget, policy: FailureDetectorPolicy, now: float) -> None:
         self._budget = budget
         self._policy = policy
         self._started_at = now
-        self._reports: dict[str, tuple[HealthReport, float]] = {}  # the last one, and when it changed
-        self._live_members: set[str] = set()  # those whose report has changed since this detector started
+        self._reports: dict[str, tuple[HealthReport, float]] = {}  # last report, and when it changed
+        self._live_members: set[str] = set()  # members whose report has changed since this detector started
         self._capacity = StoreCapacityEstimator(policy)
 
     def add_report(self, name: str, report: HealthReport | None, now: float) -> None:
-        """Take the present report of a member; None if it has none."""
+        """Add the current report of a member; None if it has none."""
         if report is None:
             return
         before = self._reports.get(name)
@@ -145,7 +146,7 @@
     def _is_lost(self, name: str, phase: int, now: float) -> bool | None:
         """Return whether a member is lost; None if that is not known yet.
 
-        A new detector reads the last reports of dead members too, so it knows a member to be alive only once
+        A new detector also reads the last reports of dead members, so it considers a member alive only after
         its report has changed.
         """
         known = self._reports.get(name)
@@ -159,7 +160,7 @@
         return False if name in self._live_members else None
 
     def summarize(self, fleet_state: FleetState, now: float) -> HealthSummary:
-        """Return what is to be written into the fleet state."""
+        """Return the results of a sweep of all members."""
         counted = {name: member for name, member in fleet_state.members.items() if not member.evicted}
         verdicts = {name: self._is_lost(name, member.phase, now) for name, member in counted.items()}
         lost = {name: is_lost for name, is_lost in verdicts.items() if is_lost is not None}
@@ -179,7 +180,7 @@
 
 
 def _with_lost(fleet_state: FleetState, lost: dict[str, bool]) -> FleetState:
-    """Return the fleet state with the members marked as lost or found."""
+    """Return the fleet state with the `lost` flags of its members updated."""
 
     def marked(name: str, member: FleetMember) -> FleetMember:
         return msgspec.structs.replace(member, lost=lost.get(name, member.lost))
@@ -189,7 +190,7 @@
 
 
 def _typical_hit_permille(reports: list[tuple[int, HealthReport]]) -> int:
-    """Return the median hit ratio of warm cache nodes in thousandths; 0 if there is none."""
+    """Return the median hit ratio of warm cache nodes in thousandths; 0 without any."""
     warm = [
         report
         for kind, report in reports
@@ -202,9 +203,9 @@
 def detector_candidates(fleet_state: FleetState) -> list[str]:
     """Return the members whose agents compete for the lease.
 
-    They are the first by name; lost members and those that are to leave come last. They are never excluded:
-    an agent can detect failures while its member is out, and if all members are lost somebody has to find
-    them again.
+    They are the first by name; lost members and members with a drain request come last. These are never
+    excluded: an agent can detect failures while its member is out, and if all members are lost a detector has
+    to find them again.
     """
     candidates = [
         (member.lost, member.drain_request is not None, name)
--- a/rosepick/fleet/fleet_operation.py
+++ b/rosepick/fleet/fleet_operation.py
@@ -1,4 +1,4 @@
-"""Operations on the fleet state that an agent asks of the quorum."""
+"""Operations on the fleet state that an agent submits to the quorum."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class OperationKind(StrEnum):
-    """What an operation on the fleet state is for."""
+    """Purpose of an operation on the fleet state."""
 
     READ = "look"
     JOIN = "join"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetOperation:
-    """A read of the fleet state (`change` is None) or a change of it."""
+    """An operation on the fleet state: a read if `change` is None, else a change."""
 
     action: OperationKind
     change: RegisterChange | None
--- a/rosepick/fleet/fleet_state.py
+++ b/rosepick/fleet/fleet_state.py
@@ -1,16 +1,16 @@
-"""The fleet state of a group: its members, drain requests, permits, losses and the halt.
+"""The fleet state of a group: its members, drain requests, permits, lost members and the halt.
 
-The fleet state is one replicated document in one register and changes by compare-and-set only. A permit is
-granted by the change that counts the members that are out, so two agents with stale copies cannot both take
-the last one. A permit ends when its member was seen to be healthy again or is evicted, never by time.
+The fleet state is one replicated document in one register and changes by compare-and-set only. The change
+that grants a permit also checks the disruption budget, so two agents with stale copies cannot both take the
+last permit. A permit ends when its member is healthy again or is evicted; it never expires.
 
     IN --acquire--> GIVEN --begin--> LEAVING --mark_out--> OUT --mark_rejoining--> BACK --mark_healthy--> IN
                       |                 |                                            ^
                       |                 +--mark_rejoining----------------------------+
-                      +--withdraw (nothing had begun)--> IN
+                      +--withdraw (before the drain begins)--> IN
 
-The document is MessagePack with positional fields, deflated (RFC 1951): a state of 1,000 members takes about
-20 KB. The changes of a permit are in `drain_permits`.
+The document is MessagePack with positional fields, compressed by raw deflate (RFC 1951). The state of 1,000
+members takes about 20 KB. `drain_permits` has the changes of a permit.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from ..consensus.proposer import ChangeRejectedError, RegisterChange
 from .versioned_document import VersionedDocument
 
-REGISTER_PREFIX = "fleet/"  # of the register names of the fleet state, the rollout state and the reports
-FORMAT_VERSION = 1  # of the document; programs refuse a newer one
+REGISTER_PREFIX = "fleet/"  # prefix of the register keys of all documents and reports of a fleet
+FORMAT_VERSION = 1  # newest document format that this program reads
 MAX_MEMBERS = 1_000
 MAX_HISTORY_ENTRIES = 80
-MAX_TEXT_LENGTH = 160  # characters of a reason or a history entry
-MIN_REPORTED_CHANGE_PERMILLE = 25  # smaller changes of health figures are not written
+MAX_TEXT_LENGTH = 160  # maximum length of a reason or a history message in characters
+MIN_REPORTED_CHANGE_PERMILLE = 25  # smaller changes of health figures are not written to the document
 
 
 class MemberKind(IntEnum):
@@ -43,14 +43,14 @@
     """The phase of a member in a drain, by its permit."""
 
     IN = 0
-    GIVEN = 1  # the permit is granted and nothing has begun
+    GIVEN = 1  # the permit is granted, the drain has not begun
     LEAVING = 2
     OUT = 3
-    BACK = 4  # started again and not yet known to be healthy
+    BACK = 4  # rejoining: started again and not yet healthy
 
 
 class MemberProfile(NamedTuple):
-    """What an agent says of its member when it joins; `weight` as in `FleetMember`."""
+    """Properties of a member that its agent states on joining; `weight` as in `FleetMember`."""
 
     kind: MemberKind
     zone: str
@@ -58,55 +58,55 @@
 
 
 class DrainRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A request to take a member out; requests are served in the order of `number`."""
+    """A request to drain a member; requests are served in the order of `number`."""
 
     number: int
     actor: str
     reason: str
-    immediate: bool = False  # the host is dying: the member leaves at once, beyond the budget
-    ignores_minimum: bool = False  # the member leaves even if too few stay in its zone
-    uses_rollback_limit: bool = False  # a rollback: the budget's limit for rollbacks applies
+    immediate: bool = False  # the host is failing: the member leaves at once and may exceed the budget
+    ignores_minimum: bool = False  # the member may leave although too few members stay in its zone
+    uses_rollback_limit: bool = False  # the budget's limit for rollbacks applies
 
 
 class FleetMember(msgspec.Struct, frozen=True, array_like=True):
     """A router or a cache node.
 
-    `weight` is its share of traffic (router) or memory (cache node), relative to others of its kind.
+    `weight` is its share of the traffic (router) or the memory (cache node), relative to members of its kind.
     """
 
     kind: int
     zone: str
     weight: int = 1000
     phase: int = MemberPhase.IN
-    permit: int = 0  # number of the permit that it holds; 0: none
-    lost: bool = False  # out without a permit: dead, silent, cold, or running without serving
+    permit: int = 0  # number of the permit that the member holds; 0 for none
+    lost: bool = False  # out without a permit: dead, silent, not serving, or cold
     drain_request: DrainRequest | None = None
-    evicted: bool = False  # removed by an operator: neither in nor out, and not counted
-    was_healthy: bool = False  # it was in at least once: a member that never came up has not failed
+    evicted: bool = False  # removed by an operator: the budget does not count it
+    was_healthy: bool = False  # at least once; a member that was never healthy does not count as failed
 
     @property
     def is_out(self) -> bool:
-        """Whether the fleet has to do without the member, for whatever reason."""
+        """Whether the member is unavailable to the fleet, for any reason."""
         return not self.evicted and (self.phase != MemberPhase.IN or self.lost)
 
     @property
     def bypasses_halt(self) -> bool:
-        """Whether the member may leave during a halt: its host is dying, or it is rolled back."""
+        """Whether the member may leave during a halt: its host is failing, or it is rolled back."""
         return self.drain_request is not None and (
             self.drain_request.immediate or self.drain_request.uses_rollback_limit
         )
 
 
 class HaltState(msgspec.Struct, frozen=True, array_like=True):
-    """A halt: no member leaves until an operator resumes."""
+    """A halt of drains or a pause of a rollout, until an operator resumes."""
 
     actor: str
     reason: str
-    timestamp_s: float  # wall clock, for display only
+    timestamp_s: float  # wall clock; for display only
 
 
 class AuditEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the history."""
+    """An entry of the history."""
 
     timestamp_s: float
     actor: str
@@ -114,11 +114,11 @@
 
 
 class FleetState(msgspec.Struct, frozen=True, array_like=True):
-    """The document that the group agrees on.
+    """The replicated document of the fleet state.
 
     `budget_digest` identifies the disruption budget that all agents have to use. `capacity_permille` is the
-    part of the stated limits that the origin can bear now, in thousandths. `token` is the fencing token of
-    the failure detector that wrote last.
+    share of the configured limits that the origin can sustain now, in thousandths. `token` is the fencing
+    token of the failure detector that wrote last.
     """
 
     format_version: int = FORMAT_VERSION
@@ -130,11 +130,11 @@
     halt: HaltState | None = None
     members: dict[str, FleetMember] = {}
     history: tuple[AuditEntry, ...] = ()
-    typical_hit_permille: int = 0  # hits in thousandths of a cache node's reads; 0: unknown
-    sweep_count: int = 0  # complete counts of all members by a failure detector while a drain was pending
+    typical_hit_permille: int = 0  # median hit ratio of warm cache nodes in thousandths; 0 if unknown
+    sweep_count: int = 0  # complete sweeps by failure detectors while a drain was pending
 
     def members_of(self, kind: int) -> dict[str, FleetMember]:
-        """Return the members of a kind that are not evicted."""
+        """Return the members of a kind by name, without evicted ones."""
         return {
             name: member
             for name, member in self.members.items()
@@ -142,7 +142,7 @@
         }
 
     def pending_drains(self) -> list[str]:
-        """Return the names of members that are to leave and are still in, in the order of their requests."""
+        """Return the members with a drain request that are still in, in the order of their requests."""
         pending = [
             (member.drain_request.number, name)
             for name, member in self.members.items()
@@ -151,21 +151,21 @@
         return [name for _, name in sorted(pending)]
 
 
-_document = VersionedDocument(FleetState, FORMAT_VERSION, "ledger")  # the label is part of error messages
+_document = VersionedDocument(FleetState, FORMAT_VERSION, "ledger")  # error messages contain the label
 decode_fleet_state = _document.decode
 encode_fleet_state = _document.encode
 update_fleet_state = _document.register_change
 
 
 def fleet_state_key(group: str) -> str:
-    """Return the name of the register that holds a group's fleet state."""
+    """Return the key of the register that holds a group's fleet state."""
     return f"{REGISTER_PREFIX}{group}/ledger"
 
 
 def with_changes(
     state: FleetState, members: Mapping[str, FleetMember], *entries: AuditEntry, **changes: object
 ) -> FleetState:
-    """Return the state with some members replaced, entries added to its history and fields changed."""
+    """Return the state with members replaced, entries appended to the history and fields changed."""
     history = (state.history + entries)[-MAX_HISTORY_ENTRIES:]
     return msgspec.structs.replace(state, members={**state.members, **members}, history=history, **changes)
 
@@ -174,10 +174,10 @@
 
 
 def join_member(name: str, profile: MemberProfile, budget_digest: str, timestamp_s: float) -> RegisterChange:
-    """Add a member, or change its profile; its phase stays as it is.
+    """Add a member or change its profile; its phase does not change.
 
-    A new member counts as lost until it was seen. Rejected if the fleet is full, the member is evicted, or
-    the fleet uses another budget.
+    A new member counts as lost until a failure detector finds it healthy. The change is rejected if the fleet
+    is full, the member is evicted, or the fleet uses another budget.
     """
 
     def update(state: FleetState) -> FleetState:
@@ -200,7 +200,7 @@
 
 
 def evict_member(name: str, actor: str, reason: str, timestamp_s: float) -> RegisterChange:
-    """Stop counting a member; this ends its permit. Rejected if there is no such member."""
+    """Evict a member and end its permit; the change is rejected if the member is unknown."""
 
     def update(state: FleetState) -> FleetState:
         member = state.members.get(name)
@@ -214,7 +214,7 @@
 
 
 def reinstate_member(name: str, actor: str, timestamp_s: float) -> RegisterChange:
-    """Count an evicted member again, as lost until it was seen. Rejected if it is not evicted."""
+    """Undo the eviction of a member, which then counts as lost; rejected if it is not evicted."""
 
     def update(state: FleetState) -> FleetState:
         member = state.members.get(name)
@@ -229,7 +229,7 @@
 
 
 def set_budget_digest(budget_digest: str, actor: str, timestamp_s: float) -> RegisterChange:
-    """Have all agents use another disruption budget."""
+    """Set the disruption budget that all agents have to use."""
     entry = AuditEntry(timestamp_s, actor, f"rules {budget_digest}")
     return update_fleet_state(lambda state: with_changes(state, {}, entry, budget_digest=budget_digest))
 
@@ -246,10 +246,10 @@
     ignores_minimum: bool = False,
     uses_rollback_limit: bool = False,
 ) -> RegisterChange:
-    """Request that members leave, in this order.
+    """Request drains of members, in the given order.
 
-    A pending request is replaced only by a more urgent one. Rejected if a member is unknown or evicted, or
-    if nothing changes.
+    Only a more urgent request replaces a pending one. The change is rejected if a member is unknown or
+    evicted, or if no request changes.
     """
 
     def update(state: FleetState) -> FleetState:
@@ -278,9 +278,9 @@
 def cancel_drain(
     names: Iterable[str], actor: str, timestamp_s: float, requested_by: str = ""
 ) -> RegisterChange:
-    """Withdraw drain requests, so that the members stay or come back.
+    """Cancel drain requests, so that the members stay or return.
 
-    With `requested_by` only requests of that actor are withdrawn. Rejected if there is none.
+    With `requested_by` only requests of that actor are cancelled. The change is rejected if there is none.
     """
 
     def update(state: FleetState) -> FleetState:
@@ -302,7 +302,7 @@
 
 
 def _apply_halt(state: FleetState, actor: str, reason: str, timestamp_s: float) -> FleetState:
-    """Return the halted state: permits under which nothing has begun are withdrawn."""
+    """Return the state with a halt, without the permits of drains that have not begun."""
     withdrawn = {
         name: msgspec.structs.replace(member, phase=int(MemberPhase.IN), permit=0)
         for name, member in state.members.items()
@@ -314,14 +314,14 @@
 
 
 def halt_drains(actor: str, reason: str, timestamp_s: float) -> RegisterChange:
-    """Halt all drains and withdraw permits that have not begun; an earlier halt stays as it is."""
+    """Halt all drains and withdraw the permits of those not begun; an earlier halt is kept."""
     return update_fleet_state(
         lambda state: state if state.halt else _apply_halt(state, actor, reason, timestamp_s)
     )
 
 
 def resume_drains(actor: str, reason: str, timestamp_s: float) -> RegisterChange:
-    """Lift the halt on behalf of an operator. Rejected if there is none."""
+    """End the halt on behalf of an operator; the change is rejected if there is none."""
 
     def update(state: FleetState) -> FleetState:
         if state.halt is None:
@@ -333,7 +333,7 @@
 
 
 def _changed_health(state: FleetState, lost: Mapping[str, bool]) -> dict[str, FleetMember]:
-    """Return the members that were lost, found again, or seen healthy for the first time."""
+    """Return the members that are newly lost, found again, or healthy for the first time."""
     changed: dict[str, FleetMember] = {}
     for name, is_lost in lost.items():
         member = state.members.get(name)
@@ -346,8 +346,8 @@
     return changed
 
 
-def _is_worth_writing(before: FleetState, after: FleetState) -> bool:
-    """Return whether health figures have changed by more than noise, or another detector writes."""
+def _is_significant_change(before: FleetState, after: FleetState) -> bool:
+    """Return whether figures changed by more than noise, or the detector or the sweep changed."""
     capacity_change = abs(after.capacity_permille - before.capacity_permille)
     hit_change = abs(after.typical_hit_permille - before.typical_hit_permille)
     return (
@@ -367,9 +367,9 @@
     timestamp_s: float,
     is_complete: bool = True,
 ) -> RegisterChange:
-    """Record a failure detector's summary: lost members, the origin's capacity, and a halt if needed.
+    """Record the summary of a failure detector: lost members, the origin's capacity, and a halt if needed.
 
-    Rejected under a fencing token older than that of the last summary.
+    The change is rejected under a fencing token that is older than that of the last summary.
     """
 
     def update(state: FleetState) -> FleetState:
@@ -392,6 +392,6 @@
             summarized = msgspec.structs.replace(summarized, sweep_count=summarized.sweep_count + 1)
         if halt_reason and state.halt is None:
             return _apply_halt(summarized, actor, halt_reason, timestamp_s)
-        return summarized if members or _is_worth_writing(state, summarized) else state
+        return summarized if members or _is_significant_change(state, summarized) else state
 
     return update_fleet_state(update)
--- a/rosepick/fleet/leader_steps.py
+++ b/rosepick/fleet/leader_steps.py
@@ -1,7 +1,8 @@
-"""A rollout leader's steps, as changes of the rollout state.
+"""The steps of a rollout leader, as changes of the rollout state.
 
-Each step names the rollout as its leader has seen it. It is rejected if the rollout is paused or was moved
-since, and under an older fencing token, so a leader that was paused cannot move anything.
+Each step contains the rollout as the leader last read it. The step is rejected if the rollout is paused or
+has advanced since, or if the fencing token is too old. A leader that was paused therefore cannot change a
+rollout.
 """
 
 from __future__ import annotations
@@ -28,20 +29,20 @@
 
 
 class LeaderAction(StrEnum):
-    """What a rollout leader decides in a step."""
+    """Decision of a rollout leader in a step."""
 
     NEXT_WAVE = "next"
     ROLL_BACK = "worse"
     PAUSE = "hold"
-    ASK_OPERATOR = "ask"  # pause, as the figures are inconclusive
+    ASK_OPERATOR = "ask"  # pause for an operator, as the canary analysis is inconclusive
     CLOSE = "close"
-    LEAVE_BEHIND = "left"  # record members that cannot follow
-    RECORD_PROGRESS = "note"  # record the time watched and the evidence
+    LEAVE_BEHIND = "left"  # record members that cannot change to their artifact
+    RECORD_PROGRESS = "note"  # record the observation time and the evidence
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderContext:
-    """The rollout as its leader has seen it, and under which token it acts."""
+    """The rollout as its leader last read it, with the leader's fencing token and name."""
 
     rollout: Rollout
     token: int
@@ -51,40 +52,42 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderUpdate:
-    """What a leader's step changes; None leaves a field as it is.
+    """The changes of a leader's step; fields that are None stay unchanged.
 
-    `evidence` is that of the present wave, or with NEXT_WAVE what the next wave begins with.
+    `evidence` belongs to the current wave, or with NEXT_WAVE is the initial state of the next wave's
+    analysis.
     """
 
     action: LeaderAction
     reason: str = ""
     watched_ms: int | None = None
-    left_behind: Mapping[str, str] | None = None  # added to those that are left behind already
+    left_behind: Mapping[str, str] | None = None  # added to the members that are already left behind
     evidence: tuple[float, ...] | None = None
 
 
-def _require_unmoved(state: RolloutState, context: LeaderContext) -> Rollout:
-    """Return the open rollout if it is still as its leader has seen it.
+def _require_unchanged(state: RolloutState, context: LeaderContext) -> Rollout:
+    """Return the open rollout if it is still in the phase and wave that the leader has read.
 
     Raises:
-        ChangeRejectedError: it is paused or was moved, or another leader has written since.
+        ChangeRejectedError: the rollout is paused or has advanced, or a newer leader has written.
     """
     rollout = require_open(state)
     seen = context.rollout
-    is_moved = (rollout.number, rollout.wave, rollout.phase) != (seen.number, seen.wave, seen.phase)
-    if context.token < state.token or is_moved or rollout.pause is not None:
+    has_advanced = (rollout.number, rollout.wave, rollout.phase) != (seen.number, seen.wave, seen.phase)
+    if context.token < state.token or has_advanced or rollout.pause is not None:
         raise ChangeRejectedError
     return rollout
 
 
 def apply_leader_update(context: LeaderContext, update: LeaderUpdate) -> RegisterChange:
-    """Make a leader's step.
+    """Apply a leader's step to the rollout state.
 
-    Rejected if the rollout is paused or was moved since the leader saw it, and under an older fencing token.
+    The change is rejected if the rollout is paused or has advanced since the leader read it, or if the
+    fencing token is older than that of the last leader.
     """
 
     def change(state: RolloutState) -> RolloutState:
-        rollout = _require_unmoved(state, context)
+        rollout = _require_unchanged(state, context)
         left_behind = update.left_behind or {}
         rollout = msgspec.structs.replace(
             rollout,
@@ -125,7 +128,7 @@
 
 
 def _next_wave(rollout: Rollout) -> Rollout:
-    """Return the rollout at its next wave; after the last one forward, in OBSERVE."""
+    """Return the rollout at its next wave, or in OBSERVE after the last wave forward."""
     rollout = msgspec.structs.replace(rollout, watched_ms=0, awaits_operator=False, operator_accepted=False)
     if rollout.phase == RolloutPhase.ROLLBACK:
         return msgspec.structs.replace(rollout, wave=rollout.wave - 1)
@@ -137,7 +140,7 @@
 def _close_rollout(
     state: RolloutState, rollout: Rollout, actor: str, reason: str, timestamp_s: float
 ) -> RolloutState:
-    """Close the rollout: the new artifact is the baseline, or after a rollback the old one again."""
+    """Close the rollout; the baseline is the new artifact, or after a rollback the old one."""
     baseline = rollout.old if rollout.phase == RolloutPhase.ROLLBACK else rollout.new
     text = f"release {rollout.number} closed, {baseline.name} runs: {reason}"
     entry = audit_entry(timestamp_s, actor, text)
--- a/rosepick/fleet/rollout_leader.py
+++ b/rosepick/fleet/rollout_leader.py
@@ -1,11 +1,11 @@
-"""The rollout leader: it watches the open rollout and decides on the next step.
+"""The rollout leader observes the open rollout and decides on its next step.
 
-It runs in the agent that holds the group's lease, beside the failure detector. All that it needs is in the
-rollout state, so another leader goes on where this one stopped; only the metrics since the last recorded
-evidence are lost.
+It runs in the agent that holds the group's lease, beside the failure detector. The rollout state contains
+everything that a leader needs, so another leader can resume the rollout; only the metrics since the last
+recorded evidence are lost.
 
-A state machine without I/O and clock; times are milliseconds of the leader's own clock, unless their name
-ends in `_s`.
+The leader is a state machine without I/O and clock; times are milliseconds of its own clock, unless their
+name ends in `_s`.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from .rollout_metrics import Interval, IntervalCollector, running_digest
 from .rollout_state import ROLLOUT_ACTOR_PREFIX, Rollout, RolloutPhase, RolloutState, describe
 
-MAX_STEP_INTERVAL_MS = 5_000.0  # of a longer pause between two steps only this much counts as watched
-NOTE_INTERVAL_MS = 2_000  # of watching, after which progress is recorded
+MAX_STEP_INTERVAL_MS = 5_000.0  # limits the observation time that one interval between steps adds
+RECORD_INTERVAL_MS = 2_000  # observation time between two records of the progress
 MAX_HARM_FACTOR = 3.0
 MAX_NAMES_LISTED = 4
 
@@ -34,12 +34,12 @@
 class RolloutPolicy:
     """Durations and limits of rollouts; times in milliseconds.
 
-    A wave is watched for `min_watch_ms` at least, and for `max_watch_ms` at most while its figures are
-    inconclusive; then an operator is asked (`asks_operator`) or the rollout goes on. After the last wave all
-    are watched for `final_watch_ms`. A member that is lost for `lost_timeout_ms` is left behind. If more than
-    `max_failed_share` of a wave fail with the new artifact it is worse. While more than `max_loss_share` of
-    all requests are lost by both versions, time does not count as watched. `interval_ms` is the length of the
-    intervals of the canary analysis.
+    A wave is observed for at least `min_watch_ms`, and for at most `max_watch_ms` while its analysis is
+    inconclusive; then the rollout pauses for an operator (`asks_operator`) or continues. After the last wave
+    the whole fleet is observed for `final_watch_ms`. A member that is lost for `lost_timeout_ms` is left
+    behind. The new artifact is rejected if it fails on more than `max_failed_share` of a wave. Time does not
+    count as observed while both artifacts together lose more than `max_loss_share` of all requests.
+    `interval_ms` is the length of an interval of the canary analysis.
     """
 
     min_watch_ms: float = 60_000.0
@@ -50,14 +50,14 @@
     false_alarm_probability: float = 0.01
     max_loss_share: float = 0.1
     interval_ms: float = 5_000.0
-    min_baseline_intervals: int = 12  # that a leader has to have seen before a wave begins
+    min_baseline_intervals: int = 12  # number of intervals a leader needs before it begins a wave
     asks_operator: bool = True
     rolls_back_automatically: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutStep:
-    """A step that is to be written into the rollout state."""
+    """A step that the leader writes into the rollout state."""
 
     action: LeaderAction
     reason: str
@@ -65,7 +65,7 @@
 
 
 class _WaveKey(NamedTuple):
-    """What a wave is watched under; another key starts the watch anew."""
+    """Identifies the observation of a wave; another key starts a new observation."""
 
     number: int
     phase: int
@@ -75,37 +75,37 @@
 
 @dataclass(slots=True)
 class _WaveProgress:
-    """The wave that is being watched."""
+    """Progress of the wave under observation."""
 
     key: _WaveKey
     watched_ms: float
-    noted_ms: float  # part of it that is recorded
+    recorded_ms: float  # part of `watched_ms` that is recorded in the rollout state
     analysis: CanaryAnalysis | None = None
     lost_since: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class _WaveMembers:
-    """Members that do not run what they are to run: the first two with the reason."""
+    """Members that do not run their target artifact; `failed` and `left_behind` map to a reason."""
 
-    failed: dict[str, str] = field(default_factory=dict)  # the artifact is at fault
-    left_behind: dict[str, str] = field(default_factory=dict)  # they cannot follow
+    failed: dict[str, str] = field(default_factory=dict)  # the artifact caused the failure
+    left_behind: dict[str, str] = field(default_factory=dict)  # the host or the member caused it
     pending: list[str] = field(default_factory=list)
 
 
 class RolloutLeader:
-    """Leads rollouts for as long as its process holds the lease."""
+    """Leads rollouts while its process holds the lease."""
 
     def __init__(self, policy: RolloutPolicy, now: float) -> None:
         self.policy = policy
         self.verdict: CanaryVerdict | None = None
-        self.waiting_for = ""  # why the last step did nothing, in words
+        self.waiting_for = ""  # describes why the last step made no decision
         self._collector = IntervalCollector(policy.interval_ms, now)
         self._last_step_at = now
         self._wave: _WaveProgress | None = None
 
     def add_report(self, name: str, report: HealthReport | None) -> None:
-        """Take the present report of a member; None if it has none."""
+        """Add the current report of a member; None if it has none."""
         self._collector.add_report(name, report)
 
     def step(
@@ -134,11 +134,11 @@
         members = self._classify_members(rollout, fleet_state, wave, now)
         context = LeaderContext(rollout, token, actor, wall_time_s)
         if rollout.phase == RolloutPhase.ROLLBACK:
-            return self._step_back(context, members)
+            return self._rollback_step(context, members)
         failed = members.failed
         if failed and len(failed) > self.policy.max_failed_share * len(rollout.current_members()):
             reason = f"{', '.join(failed)}: {next(iter(failed.values()))}"
-            return self._reject(context, reason, members.left_behind)
+            return self._reject_artifact(context, reason, members.left_behind)
         if members.left_behind or failed:
             return _leave_behind(context, members.left_behind | failed)
         if members.pending:
@@ -157,29 +157,29 @@
         names = ", ".join(sorted(pending)[:MAX_NAMES_LISTED])
         self.waiting_for = f"{describe(rollout)}: {names} to come"
 
-    # -- who runs what
+    # -- progress of members
 
     def _classify_members(
         self, rollout: Rollout, fleet_state: FleetState, wave: _WaveProgress, now: float
     ) -> _WaveMembers:
-        """Return which members of the present wave, or of the waves to roll back, are not there yet."""
+        """Return the members of the current wave, or of the waves to roll back, without their target."""
         result = _WaveMembers()
         for name in _awaited_members(rollout):
             if name in rollout.left_behind:
                 continue
             member = fleet_state.members.get(name)
             failure = self._deploy_failure(name)
-            is_failure_of_goal = (failure.kind, failure.digest) == (
+            is_failure_of_target = (failure.kind, failure.digest) == (
                 rollout.kind,
                 rollout.artifact_for(name).digest,
             )
             if member is None or member.evicted:
                 result.left_behind[name] = "it is written off"
-            elif is_failure_of_goal and failure.cause == FailureCause.ARTIFACT.value:
+            elif is_failure_of_target and failure.cause == FailureCause.ARTIFACT.value:
                 result.failed[name] = failure.reason
-            elif is_failure_of_goal:
+            elif is_failure_of_target:
                 result.left_behind[name] = failure.reason
-            elif self._has_arrived(name, member, rollout):
+            elif self._runs_target(name, member, rollout):
                 wave.lost_since.pop(name, None)
             elif self._is_lost_for_long(name, member, wave, now):
                 result.left_behind[name] = "it is lost"
@@ -191,8 +191,8 @@
         report = self._collector.latest_report(name)
         return DeployFailure.parse("" if report is None else report.deploy_error)
 
-    def _has_arrived(self, name: str, member: FleetMember, rollout: Rollout) -> bool:
-        """Return whether a member runs its artifact, and is in unless an operator drains it."""
+    def _runs_target(self, name: str, member: FleetMember, rollout: Rollout) -> bool:
+        """Return whether a member runs its target, and is in unless an operator drains it."""
         report = self._collector.latest_report(name)
         if running_digest(report, rollout) != rollout.artifact_for(name).digest:
             return False
@@ -207,7 +207,7 @@
 
     # -- steps
 
-    def _step_back(self, context: LeaderContext, members: _WaveMembers) -> RolloutStep | None:
+    def _rollback_step(self, context: LeaderContext, members: _WaveMembers) -> RolloutStep | None:
         if members.left_behind:
             return _leave_behind(context, members.left_behind)
         if members.pending:
@@ -216,8 +216,10 @@
         action = LeaderAction.NEXT_WAVE if context.rollout.wave > 0 else LeaderAction.CLOSE
         return _make_step(context, LeaderUpdate(action, "all that can are back"))
 
-    def _reject(self, context: LeaderContext, reason: str, left_behind: Mapping[str, str]) -> RolloutStep:
-        """Return the step for an artifact that is worse: roll back, or pause."""
+    def _reject_artifact(
+        self, context: LeaderContext, reason: str, left_behind: Mapping[str, str]
+    ) -> RolloutStep:
+        """Return the step for an artifact that is worse: a rollback or a pause."""
         rolls_back = self.policy.rolls_back_automatically
         action = LeaderAction.ROLL_BACK if rolls_back else LeaderAction.PAUSE
         return _make_step(context, LeaderUpdate(action, reason, left_behind=left_behind))
@@ -230,7 +232,7 @@
         interval: Interval | None,
         elapsed_ms: float,
     ) -> RolloutStep | None:
-        """Watch a wave whose members have all arrived, and go on once the figures say enough."""
+        """Observe a wave whose members all run their target; return the step that is due, if any."""
         rollout = context.rollout
         if rollout.phase == RolloutPhase.FORWARD and rollout.wave < 0:
             return self._next_wave(context, fleet_state, "what is usual is known")
@@ -240,14 +242,14 @@
             wave.analysis.add_interval(_comparable_metrics(rollout, interval))
             self.verdict = wave.analysis.verdict()
             if self.verdict.status is CanaryStatus.WORSE:
-                return self._reject(context, self.verdict.reason, {})
-        if self._collector.is_loss_general(self.policy.max_loss_share):
+                return self._reject_artifact(context, self.verdict.reason, {})
+        if self._collector.is_loss_widespread(self.policy.max_loss_share):
             self.waiting_for = "requests are lost by new and old alike: no time to judge"
             return None
         wave.watched_ms += elapsed_ms
         step = self._conclude_watch(context, wave, fleet_state)
-        if step is None and wave.watched_ms - wave.noted_ms >= NOTE_INTERVAL_MS:
-            wave.noted_ms = wave.watched_ms
+        if step is None and wave.watched_ms - wave.recorded_ms >= RECORD_INTERVAL_MS:
+            wave.recorded_ms = wave.watched_ms
             evidence = wave.analysis.export_state() if rollout.phase == RolloutPhase.FORWARD else ()
             update = LeaderUpdate(
                 LeaderAction.RECORD_PROGRESS, watched_ms=int(wave.watched_ms), evidence=evidence
@@ -256,9 +258,9 @@
         return step
 
     def _next_wave(self, context: LeaderContext, fleet_state: FleetState, reason: str) -> RolloutStep | None:
-        """Return the step to the next wave, with the baseline of its members; None while that is unknown.
+        """Return the step to the next wave; None while its members have too few baseline intervals.
 
-        The baseline is recorded with the step, so that whoever leads then has it.
+        The step records the baseline, so that a later leader can resume the analysis.
         """
         rollout = context.rollout
         next_wave = rollout.wave + 1
@@ -276,7 +278,8 @@
     ) -> CanaryAnalysis:
         """Return the analysis of a wave, resumed from evidence if there is any.
 
-        Its members are compared with those of later waves, those of the last wave with earlier ones.
+        It compares the members of the wave with those of later waves, and those of the last wave with earlier
+        ones.
         """
         routers = fleet_state.members_of(MemberKind.ROUTER)
         zones = {name: member.zone for name, member in routers.items()}
@@ -298,7 +301,7 @@
     def _conclude_watch(
         self, context: LeaderContext, wave: _WaveProgress, fleet_state: FleetState
     ) -> RolloutStep | None:
-        """Return the step that ends the watch of a wave; None while it has to be watched on."""
+        """Return the step that ends the observation of a wave; None while it continues."""
         rollout = context.rollout
         policy = self.policy
         self.waiting_for = f"{describe(rollout)}: watched for {wave.watched_ms / 1000:.0f} s"
@@ -330,7 +333,7 @@
 
 
 def _awaited_members(rollout: Rollout) -> tuple[str, ...]:
-    """Return the members of the present wave, or of all waves that are to be rolled back."""
+    """Return the members of the current wave, or in a rollback of all waves to roll back."""
     if rollout.phase == RolloutPhase.OBSERVE:
         return ()
     if rollout.phase == RolloutPhase.ROLLBACK:
@@ -339,9 +342,10 @@
 
 
 def _comparable_metrics(rollout: Rollout, interval: Interval) -> dict[str, HealthMetrics]:
-    """Return the metrics of the wave's members that run the new artifact, and of those that do not.
+    """Return the metrics of the wave's members on the new artifact, and of other members on the old one.
 
-    A member that was left behind and arrives late is on neither side: it would be compared with itself.
+    A member that was left behind and changes its artifact later is excluded: it would be compared with its
+    own metrics under the old artifact.
     """
     wave_members = rollout.current_members()
     is_last = rollout.wave + 1 == len(rollout.waves)
@@ -353,5 +357,5 @@
 
 
 def _is_drained_by_operator(drain_request: DrainRequest | None) -> bool:
-    """Return whether somebody else than a rollout has requested a drain."""
+    """Return whether an operator, not a rollout, has requested the drain."""
     return drain_request is not None and not drain_request.actor.startswith(ROLLOUT_ACTOR_PREFIX)
--- a/rosepick/fleet/rollout_metrics.py
+++ b/rosepick/fleet/rollout_metrics.py
@@ -1,4 +1,4 @@
-"""Health reports of routers, summed up by interval for a rollout leader.
+"""Aggregation of routers' health reports by interval, for a rollout leader.
 
 Times are milliseconds of the leader's own clock.
 """
@@ -15,7 +15,7 @@
 
 
 class MemberInterval(NamedTuple):
-    """A member's metrics over one interval, and its last report in it."""
+    """The metrics of a member over one interval, and its last report in the interval."""
 
     metrics: HealthMetrics
     report: HealthReport
@@ -25,7 +25,7 @@
 
 
 class IntervalCollector:
-    """Collects health reports and keeps the metrics of the last intervals."""
+    """Aggregates health reports and keeps the metrics of the last `MAX_BASELINE_INTERVALS` intervals."""
 
     def __init__(self, interval_ms: float, now: float) -> None:
         self._interval_ms = interval_ms
@@ -35,7 +35,7 @@
         self._intervals: list[Interval] = []
 
     def add_report(self, name: str, report: HealthReport | None) -> None:
-        """Take the present report of a member; None if it has none."""
+        """Add the current report of a member; None if it has none."""
         if report is None:
             return
         before = self._latest_reports.get(name)
@@ -45,13 +45,13 @@
         self._interval_reports.setdefault(name, []).append(report)
 
     def latest_report(self, name: str) -> HealthReport | None:
-        """Return the last report of a member."""
+        """Return the last report of a member; None if there is none."""
         return self._latest_reports.get(name)
 
     def close_interval(self, fleet_state: FleetState, now: float) -> Interval | None:
-        """Return the metrics of an interval that has ended; None if none has.
+        """Return the metrics of the current interval if it has ended; None otherwise.
 
-        They are of the routers that were in service and ran one version throughout it.
+        They cover the routers that were in service and ran one build and settings throughout the interval.
         """
         elapsed_ms = now - self._interval_started_at
         if elapsed_ms < self._interval_ms:
@@ -70,10 +70,10 @@
         return interval
 
     def baseline_intervals(self, rollout: Rollout, wave: int) -> list[dict[str, HealthMetrics]]:
-        """Return the intervals from before a wave.
+        """Return the metrics of the kept intervals from before a wave.
 
-        They hold its members while they ran the old artifact, and the members that they are compared with.
-        Intervals with less than half of the wave's members are left out.
+        They contain the members of the wave while they ran the old artifact, and the members to compare with.
+        Intervals with less than half of the wave's members are omitted.
         """
         wave_members = rollout.waves[wave]
         is_last = wave + 1 == len(rollout.waves)
@@ -92,8 +92,8 @@
             if 2 * sum(name in metrics_by_name for name in wave_members) >= len(wave_members)
         ]
 
-    def is_loss_general(self, max_loss_share: float) -> bool:
-        """Return whether routers of both versions together lost more than a share of their requests."""
+    def is_loss_widespread(self, max_loss_share: float) -> bool:
+        """Return whether routers on both artifacts together lost more than a share of their requests."""
         last = self._intervals[-1] if self._intervals else {}
         lost = sum(metrics.lost for metrics, _ in last.values())
         served = sum(metrics.served for metrics, _ in last.values())
@@ -101,7 +101,7 @@
 
 
 def running_digest(report: HealthReport | None, rollout: Rollout) -> str:
-    """Return the digest of the artifact of the rollout's kind that a member runs; empty if unknown."""
+    """Return the digest of a member's artifact of the rollout's kind; empty without a report."""
     if report is None:
         return ""
     return report.build if rollout.kind == BUILD else report.settings
@@ -112,7 +112,7 @@
 
 
 def _mean_metrics(reports: list[HealthReport], seconds: float) -> HealthMetrics:
-    """Return the mean of some reports, as counts over an interval of so many seconds."""
+    """Return the mean of reports, with rates converted to counts over an interval of `seconds`."""
     count = len(reports)
     latencies_ms = [report.door for report in reports if report.door > 0.0]
     return HealthMetrics(
--- a/rosepick/fleet/rollout_state.py
+++ b/rosepick/fleet/rollout_state.py
@@ -1,15 +1,15 @@
-"""The rollout state of a group: what every router is to run, the open rollout, and the decisions so far.
+"""The rollout state of a group: the target artifacts of routers, the open rollout, and the history.
 
 The rollout state is one replicated document in a register beside the fleet state and changes by
-compare-and-set only. It holds all that a rollout leader needs, so any other leader can go on with it; a
-leader under an older fencing token changes nothing. A rollout takes no member out: each member leaves under a
-drain permit that its own agent requests.
+compare-and-set only. It contains everything that a rollout leader needs, so another leader can resume a
+rollout; a step under an older fencing token is rejected. A rollout drains no member itself: each member
+leaves under a drain permit that its own agent requests.
 
-    FORWARD --all waves--> OBSERVE --in time--> closed: the new artifact is the baseline
+    FORWARD --all waves--> OBSERVE --observation ends--> closed: the new artifact is the baseline
        |   worse, or an operator   |
        +--------> ROLLBACK <-------+  --all waves--> closed: the old artifact stays the baseline
 
-A leader's steps are in `leader_steps`.
+`leader_steps` has the steps of a leader.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from .fleet_state import MAX_TEXT_LENGTH, REGISTER_PREFIX, AuditEntry, FleetState, HaltState, MemberKind
 from .versioned_document import VersionedDocument
 
-FORMAT_VERSION = 1  # of the document; programs refuse a newer one
+FORMAT_VERSION = 1  # newest document format that this program reads
 MAX_HISTORY_ENTRIES = 60
-ROLLOUT_ACTOR_PREFIX = "release "  # of the actor in drain requests on behalf of a rollout
-BUILD = "build"  # kind of an artifact: a folder with the program
-SETTINGS = "settings"  # kind of an artifact: a file with settings
-STEP_ZONE = "zone"  # step of a rollout plan: what is left of the zone that was begun
+ROLLOUT_ACTOR_PREFIX = "release "  # prefix of the actor in drain requests on behalf of a rollout
+BUILD = "build"  # artifact kind: a folder with the program
+SETTINGS = "settings"  # artifact kind: a file with settings
+STEP_ZONE = "zone"  # step of a rollout plan: the remaining routers of the first zone
 STEP_REST = "rest"  # step of a rollout plan: all other zones, one wave each
 BEFORE_FIRST_WAVE = -1  # the leader is still measuring the baseline
 
@@ -38,7 +38,7 @@
     """The phase of an open rollout."""
 
     FORWARD = 0
-    OBSERVE = 1  # all run the new artifact and are still watched
+    OBSERVE = 1  # all waves run the new artifact and are still observed
     ROLLBACK = 2
 
 
@@ -47,15 +47,15 @@
 
     name: str
     digest: str
-    source: str  # path under which each host finds it
+    source: str  # path of the artifact on each host
 
 
 class Rollout(msgspec.Struct, frozen=True, array_like=True):
     """An open rollout.
 
-    `waves` holds the names of the members by wave. Members of the waves up to `wave` may run the new
-    artifact; in a rollback those of the waves from `wave` on have to run the old one. `left_behind` are the
-    members that cannot follow, with the reason; nobody waits for them.
+    `waves` contains the names of the members by wave. Members of the waves up to `wave` may run the new
+    artifact; in a rollback those of the waves from `wave` on have to run the old one. `left_behind` maps the
+    members that cannot change to their artifact to the reason; the rollout does not wait for them.
     """
 
     number: int
@@ -65,15 +65,15 @@
     waves: tuple[tuple[str, ...], ...]
     phase: int = RolloutPhase.FORWARD
     wave: int = 0
-    watched_ms: int = 0  # how long the present wave was watched
-    pause: HaltState | None = None  # nothing begins until an operator resumes
+    watched_ms: int = 0  # observation time of the current wave in milliseconds
+    pause: HaltState | None = None  # no step is taken until an operator resumes
     left_behind: dict[str, str] = {}
-    evidence: tuple[float, ...] = ()  # of the present wave's canary analysis
-    awaits_operator: bool = False  # paused because the figures are inconclusive
-    operator_accepted: bool = False  # an operator has let this wave go on with inconclusive figures
+    evidence: tuple[float, ...] = ()  # exported state of the current wave's canary analysis
+    awaits_operator: bool = False  # paused because the canary analysis is inconclusive
+    operator_accepted: bool = False  # an operator has accepted this wave's inconclusive analysis
 
     def artifact_for(self, name: str) -> Artifact:
-        """Return what a member is to run."""
+        """Return the artifact that a member has to run."""
         wave = next((index for index, names in enumerate(self.waves) if name in names), None)
         if self.phase == RolloutPhase.OBSERVE:
             return self.new
@@ -82,15 +82,15 @@
         return self.new if wave is not None and wave <= self.wave else self.old
 
     def current_members(self) -> tuple[str, ...]:
-        """Return the members of the present wave."""
+        """Return the members of the current wave; empty before the first one."""
         return self.waves[self.wave] if 0 <= self.wave < len(self.waves) else ()
 
 
 class RolloutState(msgspec.Struct, frozen=True, array_like=True):
-    """The document that the group agrees on.
+    """The replicated document of the rollout state.
 
-    `baseline` is what members run while no rollout is open, by kind; a host that was off in a rollout comes
-    to it later. `token` is the fencing token of the leader that wrote last.
+    `baseline` maps a kind to the artifact that members run while no rollout is open; a host that was down
+    during a rollout changes to it later. `token` is the fencing token of the leader that wrote last.
     """
 
     format_version: int = FORMAT_VERSION
@@ -101,7 +101,7 @@
     history: tuple[AuditEntry, ...] = ()
 
     def artifact_for(self, name: str, kind: str) -> Artifact | None:
-        """Return what a member is to run; None: whatever it runs now."""
+        """Return the artifact of a kind that a member has to run; None to keep its current one."""
         if self.open_rollout is not None and self.open_rollout.kind == kind:
             return self.open_rollout.artifact_for(name)
         return self.baseline.get(kind)
@@ -112,31 +112,31 @@
         return f"{ROLLOUT_ACTOR_PREFIX}{self.last_number}"
 
 
-_document = VersionedDocument(RolloutState, FORMAT_VERSION, "record of releases")  # label of error messages
+_document = VersionedDocument(RolloutState, FORMAT_VERSION, "record of releases")  # label for error messages
 decode_rollout_state = _document.decode
 encode_rollout_state = _document.encode
 update_rollout_state = _document.register_change
 
 
 def rollout_state_key(group: str) -> str:
-    """Return the name of the register that holds a group's rollout state."""
+    """Return the key of the register that holds a group's rollout state."""
     return f"{REGISTER_PREFIX}{group}/releases"
 
 
 def with_changes(
     state: RolloutState, open_rollout: Rollout | None, *entries: AuditEntry, **changes: object
 ) -> RolloutState:
-    """Return the state with its open rollout replaced, entries added to its history and fields changed."""
+    """Return the state with its open rollout replaced, entries appended and fields changed."""
     history = (state.history + entries)[-MAX_HISTORY_ENTRIES:]
     return msgspec.structs.replace(state, open_rollout=open_rollout, history=history, **changes)
 
 
 def audit_entry(timestamp_s: float, actor: str, message: str) -> AuditEntry:
-    """Return a history entry, its message cut to the length that is kept."""
+    """Return a history entry with its message cut to `MAX_TEXT_LENGTH` characters."""
     return AuditEntry(timestamp_s, actor, message[:MAX_TEXT_LENGTH])
 
 
-# ---------------------------------------------------------------------------- an operator's commands
+# ---------------------------------------------------------------------------- operator commands
 
 
 def start_rollout(
@@ -150,7 +150,8 @@
 ) -> RegisterChange:
     """Open a rollout.
 
-    Rejected while another one is open, if the fleet does not run `old`, and if both artifacts are the same.
+    The change is rejected while another rollout is open, if the baseline is not `old`, and if both artifacts
+    have the same digest.
     """
 
     def update(state: RolloutState) -> RolloutState:
@@ -176,7 +177,7 @@
     """Return the open rollout.
 
     Raises:
-        ChangeRejectedError: none is open.
+        ChangeRejectedError: no rollout is open.
     """
     if state.open_rollout is None:
         raise ChangeRejectedError
@@ -184,7 +185,7 @@
 
 
 def pause_rollout(actor: str, reason: str, timestamp_s: float) -> RegisterChange:
-    """Pause the open rollout: nothing begins until an operator resumes it or rolls it back."""
+    """Pause the open rollout until an operator resumes it or rolls it back."""
 
     def update(state: RolloutState) -> RolloutState:
         rollout = require_open(state)
@@ -200,7 +201,7 @@
 def resume_rollout(actor: str, reason: str, timestamp_s: float) -> RegisterChange:
     """Resume a paused rollout.
 
-    The present wave is watched anew, and members that were left behind are waited for again.
+    The observation of the current wave starts anew, and the rollout waits for left-behind members again.
     """
 
     def update(state: RolloutState) -> RolloutState:
@@ -220,8 +221,8 @@
     return update_rollout_state(update)
 
 
-def _turned(rollout: Rollout, phase: RolloutPhase, wave: int, operator_accepted: bool) -> Rollout:
-    """Return the rollout in another direction, with nothing watched yet."""
+def _in_phase(rollout: Rollout, phase: RolloutPhase, wave: int, operator_accepted: bool) -> Rollout:
+    """Return the rollout in another phase, without any observation."""
     return msgspec.structs.replace(
         rollout,
         phase=int(phase),
@@ -238,14 +239,14 @@
 def rolled_back(
     state: RolloutState, rollout: Rollout, actor: str, reason: str, timestamp_s: float
 ) -> RolloutState:
-    """Return the state with its open rollout turned back at the wave that it has reached."""
+    """Return the state with its open rollout in ROLLBACK, from the wave that it has reached."""
     wave = len(rollout.waves) - 1 if rollout.phase == RolloutPhase.OBSERVE else rollout.wave
-    turned = _turned(rollout, RolloutPhase.ROLLBACK, wave, operator_accepted=False)
-    return with_changes(state, turned, audit_entry(timestamp_s, actor, f"goes back: {reason}"))
+    redirected = _in_phase(rollout, RolloutPhase.ROLLBACK, wave, operator_accepted=False)
+    return with_changes(state, redirected, audit_entry(timestamp_s, actor, f"goes back: {reason}"))
 
 
 def roll_back(actor: str, reason: str, timestamp_s: float) -> RegisterChange:
-    """Roll the open rollout back, paused or not, on behalf of an operator."""
+    """Roll back the open rollout on behalf of an operator, even if it is paused."""
 
     def update(state: RolloutState) -> RolloutState:
         rollout = require_open(state)
@@ -257,10 +258,10 @@
 
 
 def roll_forward(actor: str, reason: str, timestamp_s: float) -> RegisterChange:
-    """Turn a rollback forward again on behalf of an operator.
+    """Reverse a rollback on behalf of an operator.
 
-    It goes on from the last wave of which all members still run the new artifact. Members of later waves
-    return to the old one first, so that there are members to compare with.
+    The rollout continues from the last wave whose members all still run the new artifact. Members of later
+    waves return to the old one first, so that the canary analysis has members to compare with.
     """
 
     def update(state: RolloutState) -> RolloutState:
@@ -268,29 +269,29 @@
         if rollout.phase != RolloutPhase.ROLLBACK:
             raise ChangeRejectedError
         wave = max(BEFORE_FIRST_WAVE, min(rollout.wave, len(rollout.waves)) - 1)
-        turned = _turned(rollout, RolloutPhase.FORWARD, wave, operator_accepted=True)
-        return with_changes(state, turned, audit_entry(timestamp_s, actor, f"forward again: {reason}"))
+        redirected = _in_phase(rollout, RolloutPhase.FORWARD, wave, operator_accepted=True)
+        return with_changes(state, redirected, audit_entry(timestamp_s, actor, f"forward again: {reason}"))
 
     return update_rollout_state(update)
 
 
 def describe(rollout: Rollout) -> str:
-    """Return the phase and the wave of a rollout in words."""
+    """Return a description of the phase and the wave of a rollout."""
     if rollout.phase == RolloutPhase.OBSERVE:
         return "all run it"
     direction = " back" if rollout.phase == RolloutPhase.ROLLBACK else ""
     return f"wave {rollout.wave + 1} of {len(rollout.waves)}{direction}"
 
 
-# ---------------------------------------------------------------------------- the plan of its waves
+# ---------------------------------------------------------------------------- rollout plan
 
 
 def plan_waves(fleet_state: FleetState, steps: Sequence[int | str]) -> list[list[str]]:
     """Return the routers by wave.
 
-    A step is a number of routers, a share of all routers ("2%"), "zone" (what is left of the first zone) or
-    "rest" (every other zone, one wave each). The zone with the fewest routers comes first, and no wave holds
-    routers of two zones. Empty waves are left out.
+    A step is a number of routers, a share of all routers ("2%"), "zone" (the remaining routers of the first
+    zone) or "rest" (all other zones, one wave each). The zone with the fewest routers comes first, and no
+    wave contains routers of two zones. Empty waves are omitted.
     """
     routers = fleet_state.members_of(MemberKind.ROUTER)
     zones: dict[str, list[str]] = {}
