--- a/rosepick/cli/__init__.py
+++ b/rosepick/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, by groups of commands."""
+"""The command line, with one module for each group of commands."""
--- a/rosepick/cli/agent.py
+++ b/rosepick/cli/agent.py
@@ -1,6 +1,6 @@
 """The command of agents: `rosepick agent run`. See docs/drains.md.
 
-Nothing of the extra `fleet` is imported before the command runs.
+Dependencies of the extra `fleet` are imported only when the command runs.
 """
 
 from __future__ import annotations
@@ -29,23 +29,25 @@
     from ..net.event_loop import EventLoop
     from ..settings.fleet_file import FleetFile, ReleaseSettings
 
-agent = typer.Typer(no_args_is_help=True, help="Agents: one a machine, beside its router or cache node.")
+agent = typer.Typer(no_args_is_help=True, help="Agents: one for each router or cache node, on the same host.")
 
-WeightOption = Annotated[int, typer.Option(min=1, max=1_000_000, help="Its share beside others of its kind.")]
+WeightOption = Annotated[
+    int, typer.Option(min=1, max=1_000_000, help="Weight relative to members of its kind.")
+]
 BuildOption = Annotated[
-    Path | None, typer.Option(help="The build that stands here; {build} in COMMAND is its place.")
+    Path | None, typer.Option(help="The installed build; {build} in COMMAND stands for its path.")
 ]
 ConfigOption = Annotated[
-    Path | None, typer.Option(help="The member's GW_CONFIG; releases change its settings.")
+    Path | None, typer.Option(help="The member's GW_CONFIG file; releases change its settings.")
 ]
 EXIT_UNUSABLE_FOLDER = 3
-LEASE_RELEASE_TIME_MS = 300.0  # between the end of an agent and that of its process
+LEASE_RELEASE_TIME_MS = 300.0  # time to release the lease before the process exits
 MEMBER_LOG_NAME = "member.log"
 
 
 @dataclass(frozen=True, slots=True)
 class AgentOptions:
-    """The options of `agent run`, checked."""
+    """The validated options of `agent run`."""
 
     name: str
     kind: MemberKind
@@ -54,26 +56,27 @@
     folder: Path
     admin_endpoint: SocketAddress
     command: list[str]
-    program: MemberProgram | None  # None: the member takes no part in releases
+    program: MemberProgram | None  # None if the member takes no part in releases
 
 
 @agent.command("run")
 def run_agent(
     name: Annotated[str, typer.Argument(help="The member's name.")],
-    command: Annotated[list[str], typer.Argument(help="After --: what starts the member.")],
-    folder: Annotated[Path, typer.Option(help="What the agent keeps; its alone.")],
+    command: Annotated[list[str], typer.Argument(help="After --: the command that starts the member.")],
+    folder: Annotated[Path, typer.Option(help="Folder for the agent's state; not shared with other agents.")],
     zone: Annotated[str, typer.Option(help="The member's zone.")],
-    endpoint: Annotated[str, typer.Option("--door", help="host:port of the member's operators' door.")],
+    endpoint: Annotated[str, typer.Option("--door", help="host:port of the member's admin listener.")],
     kind: Annotated[str, typer.Option(help="router or cache.")] = "router",
     weight: WeightOption = 1000,
     build: BuildOption = None,
     config: ConfigOption = None,
-    check: Annotated[str, typer.Option(help="A command that checks a version; {build} is its place.")] = "",
+    check: Annotated[str, typer.Option(help="Command that checks a version; {build}: its path.")] = "",
     fleet: FleetFileOption = DEFAULT_FLEET_FILE,
 ) -> None:
-    """Look after one router or cache node in the foreground until SIGTERM. The member outlives its agent.
+    """Run the agent of one router or cache node in the foreground until SIGTERM.
 
-    With --build or --config it takes part in releases (docs/releases.md).
+    The member keeps running when its agent ends. With --build or --config it takes part in releases
+    (docs/releases.md).
     """
     if kind not in ("router", "cache"):
         exit_with_error(f"--kind {kind}: router or cache", 2)
@@ -136,7 +139,7 @@
     fleet_file: FleetFile,
     state_file: AgentStateFile,
 ) -> AgentDriver:
-    """Return the running driver of an agent and its member."""
+    """Return the driver of a new agent, its member process and its deployer."""
     from ..coordination.agent_driver import AgentDriver
     from ..coordination.supervised_process import MemberProcessConfig, SupervisedProcess
     from ..fleet.agent import Agent, AgentPolicy
@@ -181,7 +184,7 @@
 
 
 def rollout_policy_of(release_settings: ReleaseSettings) -> RolloutPolicy:
-    """Return how rollouts are led, as the fleet's file states it."""
+    """Return the rollout policy from the settings in the fleet file."""
     from ..fleet.rollout_leader import RolloutPolicy
 
     return RolloutPolicy(
@@ -204,7 +207,7 @@
     """Return a member's artifact store and deployer; None for both if it takes no part in releases.
 
     Raises:
-        OSError: the build cannot be read, or a folder cannot be made.
+        OSError: the build cannot be read, or a folder cannot be created.
     """
     from ..coordination.artifact_store import LocalArtifactStore
     from ..fleet.deployer import Deployer, DeployPolicy
@@ -221,5 +224,5 @@
 
 
 def add(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Add the commands of this group to the application."""
     app.add_typer(agent, name="agent")
--- a/rosepick/cli/app.py
+++ b/rosepick/cli/app.py
@@ -1,4 +1,4 @@
-"""The command line: groups of commands, each a module with a function `add`."""
+"""The command line application; each group of commands is a module with a function `add`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def command_line(groups: Sequence[str] = GROUPS) -> typer.Typer:
-    """Return an application with the commands of these groups."""
+    """Return an application with the commands of the named groups."""
     app = typer.Typer(
         add_completion=False,
         no_args_is_help=True,
@@ -27,10 +27,10 @@
 
 
 def app() -> None:
-    """Run the command that the arguments name.
+    """Run the command that the command line arguments name.
 
-    For a command of the group that serves, no other group is loaded: the routers of a whole fleet may start
-    at one time, and each has a part of a core.
+    For commands of the `serve` group only that group is imported: all routers of a fleet may start at the
+    same time, each with a fraction of a core.
     """
     is_serve_command = len(sys.argv) > 1 and sys.argv[1] in SERVE_COMMANDS
     command_line(SERVE_GROUPS if is_serve_command else GROUPS)()
--- a/rosepick/cli/batch_client.py
+++ b/rosepick/cli/batch_client.py
@@ -1,4 +1,4 @@
-"""A client of the batch listener, as any other client would be."""
+"""A client of the batch listener, for the command `mget`."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from ..http.batch_protocol import PATH, BatchResponseError, parse_entries
 
-RESPONSE_GRACE_S = 15.0  # beyond the deadline, for a response that is slow to transfer
+RESPONSE_GRACE_S = 15.0  # added to the deadline in seconds, for a response that is slow to transfer
 OK_STATUS = 200
 
 
 class BatchError(Exception):
-    """A batch has no response, or a malformed one; the message is one line."""
+    """The response to a batch is missing or malformed; the message has one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class BatchResponse:
-    """The response to a batch, and whether each of its reads was served."""
+    """The response to a batch; `all_served` is whether each of its reads was served."""
 
     body: bytes
     all_served: bool
@@ -27,10 +27,10 @@
 def send_batch(
     address: tuple[str, int], keys: Iterable[str], kind: str, owner: str, deadline_s: float
 ) -> BatchResponse:
-    """Send one batch of reads and return the response.
+    """Send one batch of reads and return the response; `deadline_s` is in seconds.
 
     Raises:
-        BatchError: there is no response, or it is not that of this batch.
+        BatchError: the response is missing or malformed, or answers other keys.
     """
     requested = list(keys)
     connection = http.client.HTTPConnection(*address, timeout=deadline_s + RESPONSE_GRACE_S)
@@ -43,11 +43,11 @@
             raise BatchError(f"status {response.status}: {body.decode('utf-8', 'replace').strip()}")
         entries = list(parse_entries(body))
         if [key.decode() for key, *_ in entries] != requested:
-            raise BatchError("the answer is not that of this batch")
+            raise BatchError("the response does not match the keys of the batch")
         return BatchResponse(body, all(status == OK_STATUS for _, _, status, _ in entries))
     except (OSError, http.client.HTTPException) as error:
         raise BatchError(f"{address[0]}:{address[1]}: {error or type(error).__name__}") from None
     except BatchResponseError as error:
-        raise BatchError(f"the answer is not whole: {error}") from None
+        raise BatchError(f"the response is incomplete: {error}") from None
     finally:
         connection.close()
--- a/rosepick/cli/check.py
+++ b/rosepick/cli/check.py
@@ -1,7 +1,6 @@
-"""`rosepick check`: all faults of the operators' file and of GW_CONFIG at once, and the values in force.
+"""`rosepick check` reports all faults of the operators' file and of GW_CONFIG, and the effective values.
 
-Both files are read by the code that `serve` reads them with; a fault is recorded, and reading goes on. No
-socket is opened.
+It reads both files with the same code as `serve`, but records each fault and continues. It opens no socket.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 from ..settings.reader import SettingsReader
 
 CONFIG_VARIABLE = "GW_CONFIG"
-MAX_READS = 100  # of the document: some faults show only once earlier ones have a stand-in
+MAX_READS = 100  # passes over the document, as a fault may hide others until it has a fallback value
 PORT_OPTIONS = ("tls_listen", "multiget_listen")
 T = TypeVar("T")
 _SETTING_FAULT = re.compile(r"setting (\S+) is (.*)", re.S)
@@ -29,21 +28,21 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveValue:
-    """A value in force and where it comes from."""
+    """An effective value and its source."""
 
     value: object
     source: str
 
 
 @dataclass(slots=True)
-class CheckNotes:
-    """Faults and values that were found in GW_CONFIG, by the settings' names."""
+class CheckFindings:
+    """Faults and effective values of GW_CONFIG, by name of the setting."""
 
     faults: dict[str, str] = field(default_factory=dict)
     values: dict[str, EffectiveValue] = field(default_factory=dict)
 
     def add_fault(self, error: ValueError) -> None:
-        """Record an error under the setting that its message names; the first of a setting counts."""
+        """Record an error under the setting that its message names; only the first one of a setting."""
         message = str(error)
         match = _SETTING_FAULT.fullmatch(message)
         name, text = (match[1], match[2]) if match else ("", message)
@@ -52,36 +51,36 @@
     def has_fault(self, name: str) -> bool:
         """Return whether a setting has a fault.
 
-        Faults of ranges are recorded without the prefix `settings.` and without indices of lists.
+        Range checks record faults without the prefix `settings.` and without list indices.
         """
         plain = _LIST_INDEX.sub("[]", name).removeprefix("settings.")
         return name in self.faults or plain in self.faults
 
 
 class LenientReader(SettingsReader):
-    """A reader that records faults, and goes on with a valid value in place of an invalid one."""
+    """A reader that records faults and returns a fallback value in place of an invalid one."""
 
-    def __init__(self, data: Any, path: str, notes: CheckNotes) -> None:
-        self.notes = notes
+    def __init__(self, data: Any, path: str, findings: CheckFindings) -> None:
+        self.findings = findings
         try:
             super().__init__(data, path)
         except ValueError as error:
-            notes.add_fault(error)
+            findings.add_fault(error)
             super().__init__({}, path)
 
     def child(self, data: Any, path: str) -> SettingsReader:
-        """Return a reader of a part of the document."""
-        return LenientReader(data, path, self.notes)
+        """Return a reader for a part of the document."""
+        return LenientReader(data, path, self.findings)
 
     def rows(self, key: str) -> list[SettingsReader]:
-        """Return a reader for each entry of a list; none if it is no list."""
+        """Return a reader for each entry of a list; an empty list if the value has a fault."""
         no_rows: list[SettingsReader] = []
         rows = self._read_or_fallback(key, lambda: SettingsReader.rows(self, key), no_rows, is_value=False)
         path = self.path_of(key)
-        return [LenientReader(row.data, f"{path}[{index}]", self.notes) for index, row in enumerate(rows)]
+        return [LenientReader(row.data, f"{path}[{index}]", self.findings) for index, row in enumerate(rows)]
 
     def number(self, key: str, default: float | None = None) -> float:
-        """Return a number; its default, or 1, if it has a fault."""
+        """Return a number; if it has a fault, its default, or 1 without a default."""
         fallback = 1.0 if default is None else float(default)
         return self._read_or_fallback(key, lambda: SettingsReader.number(self, key, default), fallback)
 
@@ -90,11 +89,11 @@
         return self._read_or_fallback(key, lambda: SettingsReader.integer(self, key, default), default)
 
     def boolean(self, key: str) -> bool:
-        """Return a truth value, or False if it has a fault."""
+        """Return a boolean, or False if it has a fault."""
         return self._read_or_fallback(key, lambda: SettingsReader.boolean(self, key), False)
 
     def text(self, key: str) -> str:
-        """Return a text, or a stand-in if it has a fault."""
+        """Return a text, or "none" if it has a fault."""
         return self._read_or_fallback(key, lambda: SettingsReader.text(self, key), "none")
 
     def names(self, key: str) -> tuple[str, ...]:
@@ -116,42 +115,42 @@
     def _read_or_fallback(self, key: str, read: Callable[[], T], fallback: T, is_value: bool = True) -> T:
         """Read a setting and record its fault or value; return the fallback if it has a fault."""
         name = self.path_of(key)
-        if self.notes.has_fault(name):
+        if self.findings.has_fault(name):
             return fallback
         try:
             value = read()
         except ValueError as error:
-            self.notes.add_fault(error)
+            self.findings.add_fault(error)
             return fallback
         if is_value:
             is_stated = self.data.get(key) is not None
-            self.notes.values[name] = EffectiveValue(
+            self.findings.values[name] = EffectiveValue(
                 self.data[key] if is_stated else value, CONFIG_VARIABLE if is_stated else "default"
             )
         return value
 
 
 def check_settings(path: Path | None, environment: Mapping[str, str]) -> tuple[list[str], list[str]]:
-    """Return the faults and the values in force with their sources, each as lines of text."""
+    """Return the faults and the effective values with their sources, both as lines of text."""
     operators = operator_file.defaults() if path is None else operator_file.read_file(path)
-    notes = CheckNotes()
+    findings = CheckFindings()
     try:
         document = _load_document(environment)
     except ValueError as error:
         document_faults = [f"{CONFIG_VARIABLE}: {error}"]
     else:
         document_faults = []
-        _read_all(document, notes)
-    faults = [*map(str, operators.faults), *_environment_faults(operators, notes), *document_faults]
-    faults += [f"{f'{CONFIG_VARIABLE} {name}'.strip()}: {text}" for name, text in notes.faults.items()]
-    return faults, [*operators.effective_lines(), *_effective_lines(notes)]
+        _read_all(document, findings)
+    faults = [*map(str, operators.faults), *_environment_faults(operators, findings), *document_faults]
+    faults += [f"{f'{CONFIG_VARIABLE} {name}'.strip()}: {text}" for name, text in findings.faults.items()]
+    return faults, [*operators.effective_lines(), *_effective_lines(findings)]
 
 
 def _load_document(environment: Mapping[str, str]) -> Any:
     """Return the document that GW_CONFIG names.
 
     Raises:
-        ValueError: there is none, or it is no JSON.
+        ValueError: GW_CONFIG is not set, or its file cannot be read or is not JSON.
     """
     path = environment.get(CONFIG_VARIABLE)
     if not path:
@@ -164,26 +163,26 @@
         raise ValueError(f"{path}: {error}") from None
 
 
-def _read_all(document: Any, notes: CheckNotes) -> None:
-    """Read the document as `serve` does, again and again until no new fault is found."""
+def _read_all(document: Any, findings: CheckFindings) -> None:
+    """Read the document as `serve` does, repeatedly until a pass finds no new fault."""
     for _ in range(MAX_READS):
-        fault_count = len(notes.faults)
-        notes.values.clear()
+        fault_count = len(findings.faults)
+        findings.values.clear()
         try:
-            loaded = config.read(document, lambda data, path: LenientReader(data, path, notes))
+            loaded = config.read(document, lambda data, path: LenientReader(data, path, findings))
         except ValueError as error:
-            notes.add_fault(error)
-            if len(notes.faults) == fault_count:
+            findings.add_fault(error)
+            if len(findings.faults) == fault_count:
                 return
             continue
         if isinstance(document.get("limits"), dict) and document["limits"].get("memory_mb") is None:
-            notes.faults.setdefault("limits.memory_mb", "missing")
-        _check_known_endpoints(loaded, notes)
+            findings.faults.setdefault("limits.memory_mb", "missing")
+        _check_known_endpoints(loaded, findings)
         return
 
 
-def _check_known_endpoints(loaded: config.Config, notes: CheckNotes) -> None:
-    """Check the list of known endpoints, entry by entry."""
+def _check_known_endpoints(loaded: config.Config, findings: CheckFindings) -> None:
+    """Check each entry of the list of known endpoints."""
     for number, row in enumerate(loaded.known.rows("targets")):
         document = {**loaded.known.data, "targets": [row.data]}
         directory = EndpointDirectory(loaded.names, 0.0)
@@ -191,12 +190,12 @@
             directory.apply_update(SettingsReader(document, "known"), is_cached=True)
         except ValueError as error:
             message = str(error).replace("known.targets[0]", f"known.targets[{number}]")
-            notes.add_fault(ValueError(message))
+            findings.add_fault(ValueError(message))
 
 
-def _effective_lines(notes: CheckNotes) -> Iterator[str]:
-    for name, effective in notes.values.items():
-        if not notes.has_fault(name):
+def _effective_lines(findings: CheckFindings) -> Iterator[str]:
+    for name, effective in findings.values.items():
+        if not findings.has_fault(name):
             yield f"{name} {_format_value(effective.value)} ({effective.source})"
 
 
@@ -207,14 +206,14 @@
     return value if isinstance(value, str) else json.dumps(value)
 
 
-# ---------------------------------------------------------- faults that a file alone does not show
+# ---------------------------------------------------------- faults that depend on the host or on both files
 
 
-def _environment_faults(operators: OperatorFile, notes: CheckNotes) -> Iterator[str]:
-    """Find conflicts of the operators' file with this host: folders, certificates and ports."""
+def _environment_faults(operators: OperatorFile, findings: CheckFindings) -> Iterator[str]:
+    """Yield faults of the operators' file that depend on the host: folders, certificates, ports."""
     yield from _capture_dir_faults(operators)
     yield from _certificate_faults(operators)
-    yield from _port_faults(operators, notes)
+    yield from _port_faults(operators, findings)
 
 
 def _capture_dir_faults(operators: OperatorFile) -> Iterator[str]:
@@ -226,9 +225,9 @@
 
 
 def _certificate_faults(operators: OperatorFile) -> Iterator[str]:
-    """Find TLS files that cannot be read or used, or do not belong together."""
+    """Yield a fault if TLS files cannot be read or used, or do not match each other."""
     if operators.text("tls_cert") is None or operators.text("tls_key") is None:
-        return  # half a pair has been reported already
+        return  # an incomplete pair is already reported
     if operators.text("tls_client_cert") != "off" and operators.text("tls_client_ca") is None:
         return
     from ..net.tls import TlsError, make_context
@@ -239,14 +238,14 @@
         yield str(operators.make_fault(error.name, str(error)))
 
 
-def _port_faults(operators: OperatorFile, notes: CheckNotes) -> Iterator[str]:
-    """Find listeners with the same port."""
-    listen = notes.values.get("listen", EffectiveValue("", ""))
+def _port_faults(operators: OperatorFile, findings: CheckFindings) -> Iterator[str]:
+    """Yield a fault for each listener with the port of another one."""
+    listen = findings.values.get("listen", EffectiveValue("", ""))
     taken: dict[str, str] = {}
-    if not notes.has_fault("listen"):
+    if not findings.has_fault("listen"):
         taken[str(listen.value).rpartition(":")[2]] = f"{CONFIG_VARIABLE} listen"
     for name in PORT_OPTIONS:
-        port = str(operators.optional_integer(name) or "")  # 0 is any that is free
+        port = str(operators.optional_integer(name) or "")  # 0 means any free port
         if port and port in taken:
             yield str(operators.make_fault(name, f"{name} {port} is the port of {taken[port]} already"))
         elif port:
--- a/rosepick/cli/common.py
+++ b/rosepick/cli/common.py
@@ -1,4 +1,4 @@
-"""What several commands need: how they end on an error, and the files that they read."""
+"""Shared functions of the commands: exits with an error, and loading of the configuration files."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def exit_with_error(line: object, status: int = 1) -> NoReturn:
-    """Print one line to standard error and end with an exit status."""
+    """Print one line to standard error and exit with a status."""
     print(f"rosepick: {line}", file=sys.stderr)
     raise typer.Exit(status)
 
 
 @contextmanager
 def require_extra(extra: str) -> Iterator[None]:
-    """End with an error that names the extra, if the block imports a library that is not installed."""
+    """Exit with an error that names the extra, if the block imports a library that is not installed."""
     try:
         yield
     except ModuleNotFoundError as error:
@@ -40,13 +40,13 @@
     """Return the configuration that GW_CONFIG names.
 
     Raises:
-        ConfigError: it cannot be used.
+        ConfigError: the configuration cannot be read or is invalid.
     """
     return config.load(os.environ)
 
 
 def load_config_or_exit() -> config.Config:
-    """Return the configuration that GW_CONFIG names; end with an error if it cannot be used."""
+    """Return the configuration that GW_CONFIG names; exit with an error if it is invalid."""
     try:
         return load_config()
     except config.ConfigError as error:
@@ -54,7 +54,7 @@
 
 
 def load_operator_file_or_exit(path: Path | None) -> OperatorFile:
-    """Return the operators' file; end with a line for each of its faults."""
+    """Return the operators' file; if it has faults, exit with a line for each."""
     try:
         return operator_file.load(path)
     except OperatorFileError as error:
--- a/rosepick/cli/drain.py
+++ b/rosepick/cli/drain.py
@@ -1,4 +1,4 @@
-"""Commands of drains: drain and undrain. See docs/drains.md."""
+"""The commands `drain` and `undrain`. See docs/drains.md."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from ..fleet.fleet_state import FleetState
 
-MembersArgument = Annotated[list[str] | None, typer.Argument(help="Members by name.")]
+MembersArgument = Annotated[list[str] | None, typer.Argument(help="Names of members.")]
 ZoneOption = Annotated[str, typer.Option(help="All members of a zone.")]
 
 
@@ -22,16 +22,16 @@
     members: MembersArgument = None,
     zone: ZoneOption = "",
     reason: ReasonOption = "",
-    now: Annotated[bool, typer.Option("--now", help="A dying host: at once, over the budget.")] = False,
-    below: Annotated[
-        str, typer.Option("--even-below", help="Its name once more: even under what must stay.")
+    at_once: Annotated[bool, typer.Option("--now", help="Failing host: at once, beyond the budget.")] = False,
+    minimum_override: Annotated[
+        str, typer.Option("--even-below", help="The member's name again: leave even if too few members stay.")
     ] = "",
-    wait: Annotated[bool, typer.Option("--wait", help="Until all are out.")] = False,
+    wait: Annotated[bool, typer.Option("--wait", help="Wait until all are out.")] = False,
     fleet: FleetFileOption = DEFAULT_FLEET_FILE,
 ) -> None:
-    """Have members go out, as soon as the budget allows it.
+    """Drain members, as soon as the disruption budget allows it.
 
-    They stay out until `undrain`, a halt, or no quorum.
+    They stay out until `undrain`, a halt, or a loss of the quorum.
     """
     session = FleetSession(fleet)
     from ..fleet import fleet_state
@@ -39,9 +39,11 @@
     names = _select_members(session.fleet_state.read(), members, zone)
     if not reason:
         exit_with_error("a drain needs --why", 2)
-    if below and (not now or names != [below]):
+    if minimum_override and (not at_once or names != [minimum_override]):
         exit_with_error("--even-below goes with --now and one member, named twice", 2)
-    change = fleet_state.request_drain(names, current_actor(), reason, time.time(), now, bool(below))
+    change = fleet_state.request_drain(
+        names, current_actor(), reason, time.time(), at_once, bool(minimum_override)
+    )
     state = session.fleet_state.change(change, accept_unchanged)
     _print_blocked(session, state, names)
     if wait:
@@ -51,7 +53,7 @@
 def undrain(
     members: MembersArgument = None, zone: ZoneOption = "", fleet: FleetFileOption = DEFAULT_FLEET_FILE
 ) -> None:
-    """Have members come back, or not go."""
+    """Cancel drains: members return, or do not leave."""
     session = FleetSession(fleet)
     from ..fleet import fleet_state
 
@@ -62,7 +64,7 @@
 
 
 def _select_members(state: FleetState, members: list[str] | None, zone: str) -> list[str]:
-    """Return the named members, or all of a zone; end with an error if there are none."""
+    """Return the named members, or all of a zone; exit with an error if there are none."""
     names = list(members or ())
     if bool(names) == bool(zone):
         exit_with_error("name members, or a zone", 2)
@@ -75,7 +77,7 @@
 
 
 def _print_blocked(session: FleetSession, state: FleetState, names: list[str]) -> None:
-    """Say of each member whether it goes out now, or what it waits for."""
+    """Print for each member whether it leaves now, or what blocks its drain."""
     minute = current_minute()
     if state.budget_digest != session.disruption_budget().digest():
         print("this file's budget is not the fleet's: `fleet rules` shows and sets it")
@@ -97,7 +99,7 @@
 
 
 def _show_progress(session: FleetSession, names: list[str]) -> None:
-    """Show a progress bar until all members are out, or no drain of them is wanted any more."""
+    """Show a progress bar until all members are out, or their drains are all cancelled."""
     from rich.progress import Progress
 
     from ..fleet.fleet_state import MemberPhase
@@ -115,6 +117,6 @@
 
 
 def add(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Add the commands of this group to the application."""
     app.command()(drain)
     app.command()(undrain)
--- a/rosepick/cli/fleet.py
+++ b/rosepick/cli/fleet.py
@@ -1,4 +1,4 @@
-"""Commands of the fleet's state: `rosepick fleet` and what is under it. See docs/drains.md."""
+"""The commands of `rosepick fleet`. See docs/drains.md."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     from ..fleet.disruption_budget import DisruptionBudget
     from ..fleet.fleet_state import FleetMember, FleetState
 
-fleet = typer.Typer(no_args_is_help=True, help="Who of the fleet is in, out, lost; the halt; history.")
+fleet = typer.Typer(no_args_is_help=True, help="State of the fleet: members, halt, budget, history.")
 
 FULL_CAPACITY_PERMILLE = 1000
 
@@ -42,7 +42,7 @@
 def status(
     fleet: FleetFileOption = DEFAULT_FLEET_FILE, as_json: JsonOption = False, watch: WatchOption = False
 ) -> None:
-    """Say by zone who is in, out, lost, what budget is left, and who waits for whom."""
+    """Show by zone how many members are in, out and lost, the budget, and what blocks drains."""
     session = FleetSession(fleet)
     show_document(session, session.fleet_state, _status_page, StatusOptions(as_json, watch))
 
@@ -71,7 +71,7 @@
 
 
 def _phase_table(state: FleetState, budget: DisruptionBudget) -> Table:
-    """Return the members by kind and zone, with how many are in each phase and how many may be out."""
+    """Return a table by kind and zone: the number of members in each phase, and how many may be out."""
     from rich.table import Table
 
     from ..fleet.disruption_budget import KIND_LABELS
@@ -92,7 +92,7 @@
 
 
 def _count_phases(members: list[FleetMember]) -> list[int]:
-    """Return how many members are in, going out, out and coming back; a lost one is not in."""
+    """Return how many members are in, leaving, out and rejoining; a lost member is not in."""
     from ..fleet.fleet_state import MemberPhase
 
     columns = (
@@ -112,7 +112,7 @@
 
 @fleet.command()
 def halt(reason: ReasonOption = "", fleet: FleetFileOption = DEFAULT_FLEET_FILE) -> None:
-    """Nothing goes out any more, and what is out by permit comes back, until `resume`."""
+    """Halt all drains until `resume`; members that are out under a permit return."""
     if not reason:
         exit_with_error("a halt needs --why", 2)
     session = FleetSession(fleet)
@@ -126,7 +126,7 @@
 
 @fleet.command()
 def resume(reason: ReasonOption = "", fleet: FleetFileOption = DEFAULT_FLEET_FILE) -> None:
-    """Lift the halt."""
+    """End the halt."""
     if not reason:
         exit_with_error("to resume needs --why", 2)
     session = FleetSession(fleet)
@@ -141,45 +141,45 @@
 def evict_member(
     member: Annotated[str, typer.Argument()],
     reason: ReasonOption = "",
-    back: Annotated[bool, typer.Option("--back", help="Take it on again instead.")] = False,
+    reinstates: Annotated[bool, typer.Option("--back", help="Undo the eviction instead.")] = False,
     fleet: FleetFileOption = DEFAULT_FLEET_FILE,
 ) -> None:
-    """Count a member nowhere any more: its permit ends, and its loss eats no budget."""
-    if not (reason or back):
+    """Evict a member: its permit ends, and the budget no longer counts it."""
+    if not (reason or reinstates):
         exit_with_error("to write off needs --why", 2)
     session = FleetSession(fleet)
     from ..fleet import fleet_state
 
-    if back:
+    if reinstates:
         change = fleet_state.reinstate_member(member, current_actor(), time.time())
         rejection = f"{member} is not written off"
     else:
         change = fleet_state.evict_member(member, current_actor(), reason, time.time())
         rejection = f"{member} is not a member"
     session.fleet_state.change(change, lambda _state: rejection)
-    print(f"{member}: {'taken on again' if back else 'written off'}")
+    print(f"{member}: {'taken on again' if reinstates else 'written off'}")
 
 
 @fleet.command()
 def history(fleet: FleetFileOption = DEFAULT_FLEET_FILE, as_json: JsonOption = False) -> None:
-    """What happened last, with who and why."""
+    """Show the latest changes with their actors and reasons."""
     print_history(FleetSession(fleet).fleet_state.read().history, as_json)
 
 
 @fleet.command()
 def rules(
-    set_them: Annotated[bool, typer.Option("--set", help="Have the fleet go by this file's budget.")] = False,
+    sets_budget: Annotated[bool, typer.Option("--set", help="Use the budget of this file.")] = False,
     fleet: FleetFileOption = DEFAULT_FLEET_FILE,
 ) -> None:
-    """Say whether this file's budget is the fleet's, or make it so.
+    """Compare the budget of this file with the fleet's, or set it.
 
-    Agents with another one take no permits.
+    Agents with another budget acquire no permits.
     """
     session = FleetSession(fleet)
     from ..fleet import fleet_state
 
     file_digest = session.disruption_budget().digest()
-    if set_them:
+    if sets_budget:
         change = fleet_state.set_budget_digest(file_digest, current_actor(), time.time())
         state = session.fleet_state.change(change, accept_unchanged)
     else:
@@ -189,5 +189,5 @@
 
 
 def add(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Add the commands of this group to the application."""
     app.add_typer(fleet, name="fleet")
--- a/rosepick/cli/fleet_session.py
+++ b/rosepick/cli/fleet_session.py
@@ -1,6 +1,6 @@
-"""What the commands of drains and releases share: the fleet's documents, pages that refresh, and history.
+"""Shared functions of the drain and release commands: documents, status pages and history.
 
-Nothing of the extra `fleet` is imported before one of its commands runs.
+Dependencies of the extra `fleet` are imported only when one of its commands runs.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
     from ..fleet.rollout_state import RolloutState
     from ..settings.fleet_file import FleetFile
 
-REFRESH_INTERVAL_MS = 500.0  # of pages and progress bars
+REFRESH_INTERVAL_MS = 500.0  # refresh interval of status pages and progress bars
 Document = TypeVar("Document")
 
 
 class DocumentSession(Generic[Document]):
-    """Reads and changes one document of the quorum; every failure ends the command with an error.
+    """Reads and changes one document of the quorum; every failure exits the command with an error.
 
-    `status_command` is what shows the document, for the message after an unknown outcome.
+    `status_command` is the command that shows the document; the error after an unknown outcome names it.
     """
 
     def __init__(
@@ -45,20 +45,20 @@
         self._status_command = status_command
 
     def read(self) -> Document:
-        """Return the document as it is."""
+        """Return the current document."""
         return self._decode(run_operation(self._client, self._key))
 
     def change(self, change: RegisterChange, rejection_reason: Callable[[Document], str]) -> Document:
-        """Change the document and return it as it is then.
+        """Change the document and return its new content.
 
-        `rejection_reason` gets the document if the change left it as it was; it says why, or returns an empty
-        text if that is no error.
+        `rejection_reason` is called with the document if the change was rejected. It returns the reason, or
+        an empty text if the rejection is no error.
         """
         from ..consensus.proposer import OutcomeKind
 
         outcome = run_operation(self._client, self._key, change)
         if outcome.kind is OutcomeKind.UNKNOWN:
-            exit_with_error(f"the answer was lost: look with `{self._status_command}`", EXIT_NO_QUORUM)
+            exit_with_error(f"the outcome is unknown: check with `{self._status_command}`", EXIT_NO_QUORUM)
         document = self._decode(outcome)
         reason = rejection_reason(document) if outcome.kind is OutcomeKind.UNCHANGED else ""
         if reason:
@@ -75,7 +75,7 @@
 
 
 class FleetSession:
-    """The state of the fleet and its rollouts, for the group that the fleet's file names."""
+    """The fleet state and the rollout state of the group that the fleet file names."""
 
     def __init__(self, path: Path) -> None:
         self.client: QuorumClient
@@ -100,31 +100,31 @@
         )
 
     def disruption_budget(self) -> DisruptionBudget:
-        """Return the budget that the fleet's file states."""
+        """Return the disruption budget of the fleet file."""
         return disruption_budget_of(self.fleet_file)
 
 
 @dataclass(frozen=True, slots=True)
 class StatusOptions:
-    """How a status is shown: as JSON, or as a page that may be refreshed."""
+    """Output options of a status command: JSON, or a page that `watch` refreshes."""
 
     as_json: bool
     watch: bool
 
 
 def disruption_budget_of(fleet_file: FleetFile) -> DisruptionBudget:
-    """Return the disruption budget that a fleet's file states."""
+    """Return the disruption budget from the settings in a fleet file."""
     from ..fleet.disruption_budget import DisruptionBudget, Limit
 
     drains = fleet_file.drains
     routers = Limit(**drains.routers.model_dump())
     caches = Limit(**drains.caches.model_dump())
-    returning = None if drains.back is None else Limit(**drains.back.model_dump())
-    return DisruptionBudget(routers, caches, drains.closed_minutes(), drains.apart, drains.unasked, returning)
+    rollbacks = None if drains.back is None else Limit(**drains.back.model_dump())
+    return DisruptionBudget(routers, caches, drains.closed_minutes(), drains.apart, drains.unasked, rollbacks)
 
 
 def accept_unchanged(_document: object) -> str:
-    """Take it as no error that a change left a document as it was."""
+    """Return an empty rejection reason: an unchanged document is no error."""
     return ""
 
 
@@ -139,7 +139,7 @@
     make_page: Callable[[FleetSession], RenderableType],
     options: StatusOptions,
 ) -> None:
-    """Print a document as JSON, or the page that is made of it."""
+    """Print a document as JSON, or show the page that `make_page` renders."""
     if options.as_json:
         import msgspec
 
@@ -168,7 +168,7 @@
 
 
 def print_history(entries: Iterable[AuditEntry], as_json: bool) -> None:
-    """Print audit entries, one a line."""
+    """Print audit entries, one per line."""
     for entry in entries:
         timestamp = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(entry.timestamp_s))
         if as_json:
--- a/rosepick/cli/lab.py
+++ b/rosepick/cli/lab.py
@@ -1,6 +1,6 @@
-"""Commands of the lab: experiments on a model of the fleet, and `rosepick demo`. See docs/lab.md.
+"""The commands of `rosepick lab`, and `rosepick demo`. See docs/lab.md.
 
-Nothing of the extra `lab` is imported before one of its commands runs.
+Dependencies of the extra `lab` are imported only when one of its commands runs.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 
 def demo(
-    seconds: Annotated[int, typer.Option(min=10, max=600, help="How long traffic lasts.")] = 60,
+    seconds: Annotated[int, typer.Option(min=10, max=600, help="Duration of the traffic in seconds.")] = 60,
 ) -> None:
-    """Start a small fleet on this machine and show what happens.
+    """Run a small fleet on this machine and show its behavior.
 
-    It has one router, a slow node and a restart.
+    The fleet has one router and a slow node, and a node restarts.
     """
     with require_extra("lab"):
         from ..lab.demo import run_demo
@@ -27,7 +27,7 @@
 
 
 def add(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Add the commands of this group to the application."""
     lab = typer.Typer(no_args_is_help=True, help="Experiments on a model of the fleet.")
     for commands in (lab_experiments, lab_results, lab_drills):
         commands.add(lab)
--- a/rosepick/cli/lab_drills.py
+++ b/rosepick/cli/lab_drills.py
@@ -1,4 +1,4 @@
-"""Commands of the lab for fault injection: drills, their benchmarks, and mutation tests. See docs/lab.md."""
+"""Commands of the lab for fault injection: drills, benchmarks and mutation tests. See docs/lab.md."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from .common import exit_with_error, require_extra
 from .lab_options import SeedsOption, WorkersOption, parse_seeds
 
-MAX_LOST_LINES = 8  # that are printed of one run
-SUMMARY_NAME = "sum.json"  # in the folder of a report
+MAX_LOST_LINES = 8  # maximum number of printed lines about lost requests per run
+SUMMARY_NAME = "sum.json"  # file in the folder of a report
 
 
 def drill(
     file: Annotated[Path, typer.Argument(help="A drill file.")],
     seed: SeedsOption = "1",
     report: Annotated[
-        Path | None, typer.Option("--report", help="Keep histories and logs in this folder.")
+        Path | None, typer.Option("--report", help="Write histories and logs to this folder.")
     ] = None,
     simulated: Annotated[
-        bool, typer.Option("--simulated/--real", help="On a simulated net and clock.")
+        bool, typer.Option("--simulated/--real", help="Use a simulated network and clock.")
     ] = False,
     workers: WorkersOption = 1,
 ) -> None:
-    """Play faults between processes and judge what they do. Ends with 1 if a claim is broken."""
+    """Inject faults between processes and check invariants. Exits with 1 if an invariant is violated."""
     import tempfile
 
     with require_extra("lab"):
         from ..lab.drill import drill_file, runner
-    _log_errors_only()  # the processes' logs are in files of their own
+    _log_errors_only()  # the processes log to their own files
 
     try:
         plan = drill_file.load_drill(file)
@@ -55,10 +55,10 @@
     seed: SeedsOption = "1",
     routers: Annotated[int, typer.Option(min=1, max=60, help="Router processes.")] = 16,
     process_faults: Annotated[
-        bool, typer.Option(help="Wall clocks step and system calls fail inside the routers.")
+        bool, typer.Option(help="Step wall clocks and fail system calls in routers.")
     ] = True,
 ) -> None:
-    """Play random, overlapping faults on real processes. Ends with 1 if an invariant is broken."""
+    """Inject random, overlapping faults into real processes. Exits with 1 if an invariant is violated."""
     with require_extra("lab"):
         from ..lab.soak.soak_plan import draw_plan
         from ..lab.soak.soak_run import play_soak
@@ -73,17 +73,17 @@
 
 
 def scale(
-    nodes: Annotated[int, typer.Option(min=1, max=10_000, help="Cache nodes in the list.")] = 3_200,
+    nodes: Annotated[int, typer.Option(min=1, max=10_000, help="Number of cache nodes.")] = 3_200,
     routers: Annotated[int, typer.Option(min=1, max=60, help="Router processes.")] = 1,
-    rate: Annotated[float, typer.Option(min=1, help="Requests a second to each router.")] = 250.0,
-    deadline: Annotated[float, typer.Option(min=0.05, help="Seconds that a client waits.")] = 1.2,
+    rate: Annotated[float, typer.Option(min=1, help="Requests per second to each router.")] = 250.0,
+    deadline: Annotated[float, typer.Option(min=0.05, help="Deadline of a request in seconds.")] = 1.2,
     cpu_share: Annotated[
-        float, typer.Option(min=0.02, max=1.0, help="Part of the time in which routers may run.")
+        float, typer.Option(min=0.02, max=1.0, help="Share of the time in which routers run.")
     ] = 1.0,
-    calm: Annotated[bool, typer.Option(help="Neither kills nor changes of the list.")] = False,
+    calm: Annotated[bool, typer.Option(help="No kills and no list changes.")] = False,
     seed: SeedsOption = "1",
 ) -> None:
-    """Play real routers beside many nodes, of which two thirds are replaced; 1 if a request is lost."""
+    """Run routers with many nodes and replace two thirds of them. Exits with 1 if a request is lost."""
     with require_extra("lab"):
         from ..lab.scale import scale_plan
         from ..lab.scale.scale_run import play_scale
@@ -107,9 +107,9 @@
 
 
 def scale_soak(seed: SeedsOption = "1") -> None:
-    """Play a random scale plan of each seed: fleets of all sizes, signals, crowds. 1 if one breaks.
+    """Run a random scale plan for each seed: fleet sizes, signals, load peaks. Exits with 1 if one fails.
 
-    A run in which the rig itself was late is void, says so, and does not count.
+    A run in which the test rig was too slow is void and does not count; its result line says so.
     """
     with require_extra("lab"):
         from ..lab.scale.scale_run import play_scale
@@ -121,16 +121,18 @@
         result = play_scale(plan)
         print(f"seed {number}: {plan.summary()}", flush=True)
         print("\n  ".join([f"  {result.line()}", *result.lost_lines()[:MAX_LOST_LINES]]), flush=True)
-        if result.is_broken() and not result.void:  # a void run says nothing about the program
+        if result.is_broken() and not result.void:  # a void run gives no result about the program
             broken_seeds.append(number)
     print(f"broken: {', '.join(map(str, broken_seeds)) or 'none'}")
     raise typer.Exit(1 if broken_seeds else 0)
 
 
 def measure_leases(
-    renewals: Annotated[int, typer.Option(min=100, help="For the size of a witness's storage.")] = 100_000,
+    renewals: Annotated[
+        int, typer.Option(min=100, help="Renewals to measure a witness's storage.")
+    ] = 100_000,
 ) -> None:
-    """Measure what leases cost on this machine, beside a lock file."""
+    """Measure the cost of leases on this machine, compared with a lock file."""
     with require_extra("lab"):
         from ..lab.drill import lease_benchmark
 
@@ -144,7 +146,7 @@
     beat: Annotated[float, typer.Option(min=0.2, max=60, help="Seconds between reports.")] = 1.5,
     seconds: Annotated[float, typer.Option(min=1)] = 20.0,
 ) -> None:
-    """Measure what drains cost the witnesses, with so many members."""
+    """Measure the load that drains of a fleet put on the witnesses."""
     with require_extra("lab"):
         from ..lab.drill import drain_benchmark
 
@@ -154,11 +156,11 @@
 
 
 def measure_releases(
-    identical: Annotated[int, typer.Option(min=1, help="Releases of a version that is no worse.")] = 500,
-    each: Annotated[int, typer.Option(min=1, help="Releases of each that is.")] = 20,
+    identical: Annotated[int, typer.Option(min=1, help="Releases of an equal version.")] = 500,
+    each: Annotated[int, typer.Option(min=1, help="Releases of each worse version.")] = 20,
     workers: WorkersOption = 4,
 ) -> None:
-    """Measure false alarms and what each kind of worse version costs, on a model of 200 routers."""
+    """Measure false alarms and the cost of each kind of worse version, on a model of 200 routers."""
     with require_extra("lab"):
         from ..lab.drill import release_benchmark
 
@@ -168,9 +170,9 @@
 
 def explore_leases(
     replica_count: Annotated[int, typer.Option("--witnesses", min=1, max=5)] = 3,
-    again: Annotated[int, typer.Option(min=0, help="How often each caller may ask anew.")] = 0,
+    again: Annotated[int, typer.Option(min=0, help="Retries of each client.")] = 0,
 ) -> None:
-    """Play two callers and a few witnesses through every order of messages. Ends with 1 if a claim breaks."""
+    """Explore every message order of two clients and a few witnesses. Exits with 1 on a violation."""
     with require_extra("lab"):
         from ..lab.drill.model_checker import explore_register
 
@@ -182,11 +184,11 @@
 
 
 def mutations(
-    file: Annotated[Path, typer.Argument(help="Planted faults.")] = Path("tests/mutations.toml"),
-    only: Annotated[str, typer.Option(help="Only faults with this in their names.")] = "",
+    file: Annotated[Path, typer.Argument(help="File of planted faults.")] = Path("tests/mutations.toml"),
+    only: Annotated[str, typer.Option(help="Only faults whose names contain this text.")] = "",
     workers: WorkersOption = 4,
 ) -> None:
-    """Put each planted fault into a copy of the program and have a drill find it; 1 if one is not found."""
+    """Run a drill on a copy of the program with each planted fault. Exits with 1 if one is missed."""
     with require_extra("lab"):
         from ..lab.drill import mutations as mutation_tests
 
@@ -211,7 +213,7 @@
 
 
 def add(lab: typer.Typer) -> None:
-    """Add these commands to the lab's."""
+    """Add the commands of this module to those of the lab."""
     lab.command()(drill)
     lab.command()(soak)
     lab.command()(scale)
--- a/rosepick/cli/lab_experiments.py
+++ b/rosepick/cli/lab_experiments.py
@@ -1,4 +1,4 @@
-"""Commands of the lab that play experiments: check, run, sweep and compare. See docs/lab.md."""
+"""Commands of the lab that run experiments: check, run, sweep and compare. See docs/lab.md."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 LiveOption = Annotated[
     bool, typer.Option("--live/--sim", help="Real processes on loopback, or simulated time.")
 ]
-SetOption = Annotated[list[str] | None, typer.Option("--set", help="name=value: another value for this run.")]
-PoliciesOption = Annotated[
-    str, typer.Option(help="Policies by commas; the first is compared with the others.")
+SetOption = Annotated[
+    list[str] | None, typer.Option("--set", help="name=value: override a setting of the file.")
 ]
+PoliciesOption = Annotated[str, typer.Option(help="Comma-separated policies; the first is the baseline.")]
 Player = Callable[..., tuple["RunResult", "RunCost"]]
-LIVE_POLICY = "rosepick"  # the only one that real processes have
+LIVE_POLICY = "rosepick"  # the only policy that real processes implement
 EXIT_INTERRUPTED = 130
 
 
 def check(files: ExperimentsArgument) -> None:
-    """Name every fault of experiment files, each with its place.
+    """Report every fault in experiment files with its location, without running them.
 
-    Ends with 2 if there is one. Starts nothing.
+    Exits with 2 if there is a fault.
     """
     with require_extra("lab"):
         for path, experiment in zip(files, _load_experiments(files, {}), strict=True):
@@ -58,10 +58,10 @@
     sets: SetOption = None,
     out: OutOption = None,
 ) -> None:
-    """Play experiments and say what came of each.
+    """Run experiments and print the result of each.
 
-    Ends with 0 if all that must hold held, with 1 if something did not, a rule was broken or a run is void,
-    and with 2 if nothing could be played.
+    Exits with 0 if all conditions hold, with 1 if a condition fails, a rule is violated or a run is void, and
+    with 2 if no experiment can run.
     """
     with require_extra("lab"):
         from ..lab import console, results
@@ -89,12 +89,12 @@
 def sweep(
     file: Annotated[Path, typer.Argument(help="The experiment file.")],
     grid: Annotated[list[str], typer.Argument(help="name=value,value or name=1..5; also policy= and seed=.")],
-    out: Annotated[Path, typer.Option("--out", help="Results go to this file, as JSON lines.")],
+    out: Annotated[Path, typer.Option("--out", help="Write results to this file, as JSON lines.")],
     workers: WorkersOption = 1,
 ) -> None:
-    """Play every cell of a grid over processes. The file has the same bytes for any number of workers.
+    """Run every cell of a grid in worker processes. The results do not depend on the number of workers.
 
-    Interrupted, it leaves what was done. Ends as `lab run` does.
+    An interrupted sweep keeps the results so far. The exit statuses are those of `lab run`.
     """
     with require_extra("lab"):
         from ..lab import results
@@ -122,13 +122,13 @@
     sets: Annotated[
         list[str] | None, typer.Option("--set", help="name=value,value: compare values of a setting.")
     ] = None,
-    by: Annotated[str, typer.Option(help="What the arms differ in: policy, or a setting's name.")] = "policy",
+    by: Annotated[str, typer.Option(help="What to compare: policy, or the name of a setting.")] = "policy",
     workers: WorkersOption = 1,
     out: OutOption = None,
 ) -> None:
-    """Put policies, or values of a setting, side by side on the same days.
+    """Compare policies, or values of a setting, on the same experiments and seeds.
 
-    It shows paired differences to the first.
+    Prints the paired differences to the first one.
     """
     with require_extra("lab"):
         from ..lab import results
@@ -145,7 +145,7 @@
 
 
 def _load_experiments(files: list[Path], changes: dict[str, Any]) -> list[Experiment]:
-    """Return all experiments; end with status 2 and all faults of all files if there are any."""
+    """Return the experiments of all files; if any has faults, report them all and exit with status 2."""
     from ..lab import experiment
 
     experiments: list[Experiment] = []
@@ -161,7 +161,7 @@
 
 
 def _parse_changes(sets: list[str] | None) -> dict[str, Any]:
-    """Return the settings that `--set` changes; end with an error if it states several values of one."""
+    """Return the settings that `--set` changes; exit with an error if one has several values."""
     from ..lab.grid import parse_grid
 
     try:
@@ -176,7 +176,7 @@
 
 
 def _select_player(live: bool) -> Player:
-    """Return what plays an experiment: simulated, or on real processes."""
+    """Return the function that runs an experiment, simulated or on real processes."""
     if not live:
         from ..lab.sim import run_simulated
 
@@ -202,7 +202,7 @@
 
 
 def _play_grid(file: Path, terms: list[str], workers: int, play: Player) -> Iterator[RunResult]:
-    """Play a grid and show its progress; each result comes once it and all before it are there."""
+    """Run a grid, show its progress, and yield the results in the order of the grid."""
     from ..lab import console
     from ..lab.grid import parse_grid
     from ..lab.sweep import CellError, SweepJob, run_sweep
@@ -221,6 +221,6 @@
 
 
 def add(lab: typer.Typer) -> None:
-    """Add these commands to the lab's."""
+    """Add the commands of this module to those of the lab."""
     for command in (check, run, sweep, compare):
         lab.command()(command)
--- a/rosepick/cli/lab_options.py
+++ b/rosepick/cli/lab_options.py
@@ -1,4 +1,4 @@
-"""What the commands of the lab share: options, and how faults of files and options are reported."""
+"""Shared options of the lab commands, and the report of faults in files and options."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 ExperimentsArgument = Annotated[list[Path], typer.Argument(help="Experiment files.")]
 OutOption = Annotated[Path | None, typer.Option("--out", help="Append results to this file, as JSON lines.")]
-SeedsOption = Annotated[str, typer.Option(help="A seed, several by commas, or a range as 1..5.")]
-WorkersOption = Annotated[int, typer.Option(min=1, max=256, help="Processes that play at one time.")]
+SeedsOption = Annotated[str, typer.Option(help="A seed, comma-separated seeds, or a range as 1..5.")]
+WorkersOption = Annotated[int, typer.Option(min=1, max=256, help="Number of worker processes.")]
 
 
 def parse_seeds(text: str, default: int) -> list[int]:
-    """Return the seeds that an option states; the default alone if it is empty."""
+    """Return the seeds in an option's text; only the default if the text is empty."""
     from ..lab.grid import parse_grid
 
     try:
@@ -27,5 +27,5 @@
 
 
 def exit_with_faults(error: Exception) -> NoReturn:
-    """End with status 2 and a line for each line of the error."""
+    """Print each line of the error to standard error and exit with status 2."""
     exit_with_error(str(error).replace("\n", "\nrosepick: "), 2)
--- a/rosepick/cli/lab_results.py
+++ b/rosepick/cli/lab_results.py
@@ -1,4 +1,4 @@
-"""Commands of the lab that read what was recorded: diff, report and account. See docs/lab.md."""
+"""Commands of the lab that read recorded results and logs: diff, report and account. See docs/lab.md."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 
 
 def diff(
-    files: Annotated[list[Path], typer.Argument(help="Results, as JSON lines; the first arm is the base.")],
+    files: Annotated[
+        list[Path], typer.Argument(help="Results, as JSON lines; the first variant is the base.")
+    ],
     by: Annotated[str, typer.Option(help="policy, revision, how, or the name of a setting.")] = "revision",
 ) -> None:
-    """Compare results that were kept: two revisions, simulated and live runs, two values of a setting."""
+    """Compare stored results: revisions, simulated and live runs, or values of a setting."""
     with require_extra("lab"):
         print_comparisons(_read_runs(files)[0], by)
 
 
 def print_comparisons(runs: list[RunResult], by: str) -> None:
-    """Print a table for each experiment, with the arms that differ in `by`."""
+    """Print a table for each experiment that compares the runs by `by`."""
     from ..lab import compare, console
 
     for comparison in compare.compare_runs(runs, by):
@@ -32,10 +34,10 @@
 
 def report(
     files: Annotated[list[Path], typer.Argument(help="Results, as JSON lines.")],
-    out: Annotated[Path, typer.Option("--out", "-o", help="The page.")] = Path("report.html"),
+    out: Annotated[Path, typer.Option("--out", "-o", help="Output file.")] = Path("report.html"),
     title: str = "Experiments",
 ) -> None:
-    """Make one HTML page with plots of results."""
+    """Write an HTML page with plots of results."""
     with require_extra("lab"):
         from ..lab.report import render
 
@@ -47,10 +49,10 @@
 def account(
     logs: Annotated[list[Path], typer.Argument(help="Routers' logs, or a folder of them (*.log).")],
     printed: Annotated[
-        Path | None, typer.Option("--printed", help="What the bench printed of the day.")
+        Path | None, typer.Option("--printed", help="The bench's printed report of the day.")
     ] = None,
 ) -> None:
-    """Say where a day's worth went: by cause, class, five seconds and router, and what is priced."""
+    """Show the lost value of a day by cause, request class, five-second interval and router."""
     with require_extra("lab"):
         from ..lab import console
         from ..lab.account.day_report import parse_day_report
@@ -70,7 +72,7 @@
 
 
 def _read_runs(files: list[Path]) -> tuple[list[RunResult], list[RunCost]]:
-    """Return the results and costs in files; end with status 2 if they cannot be read or hold no run."""
+    """Return the results and costs in files; exit with status 2 if they are unreadable or empty."""
     from ..lab import results
 
     try:
@@ -84,6 +86,6 @@
 
 
 def add(lab: typer.Typer) -> None:
-    """Add these commands to the lab's."""
+    """Add the commands of this module to those of the lab."""
     for command in (diff, report, account):
         lab.command()(command)
--- a/rosepick/cli/lease.py
+++ b/rosepick/cli/lease.py
@@ -1,4 +1,4 @@
-"""Commands of leases: `rosepick lease` and what is under it. See docs/leases.md."""
+"""The commands of `rosepick lease`. See docs/leases.md."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     from ..coordination.quorum_client import QuorumClient
     from ..leases.lease_record import LeaseRecord
 
-lease = typer.Typer(no_args_is_help=True, help="Leases: who does a task of the whole fleet.")
+lease = typer.Typer(no_args_is_help=True, help="Leases: exclusive tasks of the whole fleet.")
 lease.callback()(require_fleet_extra)
 
 
@@ -37,17 +37,17 @@
     task: Annotated[str, typer.Argument()],
     command: Annotated[list[str], typer.Argument(help="After --: the command and its arguments.")],
     fleet: FleetFileOption = DEFAULT_FLEET_FILE,
-    ttl: Annotated[float | None, typer.Option(min=0.5, max=3600, help="Seconds.")] = None,
+    ttl: Annotated[float | None, typer.Option(min=0.5, max=3600, help="Duration in seconds.")] = None,
     wait: Annotated[
-        float | None, typer.Option(min=0, help="Seconds to wait for the lease; else for ever.")
+        float | None, typer.Option(min=0, help="Maximum wait in seconds; default: no limit.")
     ] = None,
-    name: Annotated[str, typer.Option(help="Who this is, for others to read.")] = "",
-    successor: Annotated[str, typer.Option(help="Who is to have it next.")] = "",
+    name: Annotated[str, typer.Option(help="Name of this holder, for display.")] = "",
+    successor: Annotated[str, typer.Option(help="Preferred next holder.")] = "",
 ) -> None:
-    """Hold a lease while a command runs; it finds the token in ROSEPICK_TOKEN.
+    """Hold a lease while a command runs; ROSEPICK_TOKEN contains the fencing token.
 
-    Ends with the command's status; 75 if others held the lease for too long, 76 if it came into doubt and the
-    command was ended, 69 if no quorum answered in time.
+    Exits with the command's status; 75 if the lease was not free in time, 76 if the lease became uncertain
+    and the command was stopped, 69 if no quorum responded in time.
     """
     client, fleet_file = connect_quorum(fleet)
     from .. import logs
@@ -67,16 +67,16 @@
 
 @lease.command("list")
 def list_leases(fleet: FleetFileOption = DEFAULT_FLEET_FILE, as_json: JsonOption = False) -> None:
-    """Name the tasks, with their holders."""
+    """List the tasks with their holders."""
     from ..leases import lease_record
 
     client, _ = connect_quorum(fleet)
-    run_operation(client, lease_record.register_key(""))  # ends here if no quorum answers
+    run_operation(client, lease_record.register_key(""))  # exits here if no quorum responds
     _print_leases({task: _read_lease(client, task) for task in _list_tasks(client) if task}, as_json)
 
 
 def _list_tasks(client: QuorumClient) -> list[str]:
-    """Return all tasks of which a majority of replicas knows a lease."""
+    """Return the tasks of all leases that a majority of replicas reports."""
     from ..consensus import messages
     from ..leases import lease_record
 
@@ -111,13 +111,13 @@
     fleet: FleetFileOption = DEFAULT_FLEET_FILE,
     as_json: JsonOption = False,
 ) -> None:
-    """Say who holds a task, under which token, and who waits."""
+    """Show the holder of a task, its token and the queue."""
     client, _ = connect_quorum(fleet)
     _print_leases({task: _read_lease(client, task)}, as_json)
 
 
 def _lease_as_json(record: LeaseRecord) -> dict[str, object]:
-    """The document of `--json`; its keys are an interface, whatever the fields are called."""
+    """Return a lease as `--json` prints it; the keys are a public interface, independent of field names."""
     return {
         "token": record.token,
         "held": record.is_held,
@@ -147,27 +147,27 @@
 @lease.command()
 def release(
     task: Annotated[str, typer.Argument()],
-    force: Annotated[bool, typer.Option("--force", help="Take it from whoever holds it.")] = False,
-    reason: Annotated[str, typer.Option("--why", help="For the log and for who looks later.")] = "",
+    force: Annotated[bool, typer.Option("--force", help="Take the lease from its holder.")] = False,
+    reason: Annotated[str, typer.Option("--why", help="The reason, recorded with the lease.")] = "",
     fleet: FleetFileOption = DEFAULT_FLEET_FILE,
 ) -> None:
-    """Take a task from its holder: no renewal of it counts, and the next one comes when its time is over."""
+    """Revoke a lease: its renewals are rejected, and the next holder follows when it expires."""
     from ..consensus.proposer import OutcomeKind
     from ..leases import lease_record
 
     if not force or not reason:
-        exit_with_error("a lease is its holder's: taking it away needs --force and --why", 2)
+        exit_with_error("to release a lease of another holder needs --force and --why", 2)
     client, _ = connect_quorum(fleet)
     change = lease_record.force_release(current_actor(), reason)
     outcome = run_operation(client, lease_record.register_key(task), change)
     if outcome.kind is OutcomeKind.UNKNOWN:
-        exit_with_error("the answer was lost: look with `lease show`", EXIT_NO_QUORUM)
+        exit_with_error("the outcome is unknown: check with `lease show`", EXIT_NO_QUORUM)
     if outcome.kind is OutcomeKind.UNCHANGED:
-        exit_with_error(f"nobody holds {task}", EXIT_REFUSED)
+        exit_with_error(f"{task} has no holder", EXIT_REFUSED)
     record = lease_record.decode_record(outcome.register)
     print(f"{task}: {record.note}; token {record.token}", file=sys.stderr)
 
 
 def add(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Add the commands of this group to the application."""
     app.add_typer(lease, name="lease")
--- a/rosepick/cli/mget.py
+++ b/rosepick/cli/mget.py
@@ -1,4 +1,4 @@
-"""The command `rosepick mget`: one batch of reads, sent as a client would."""
+"""The command `rosepick mget`, which sends one batch of reads."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 
 
 def mget(
-    keys: Annotated[list[str] | None, typer.Argument(help="Without any: one a line, standard input.")] = None,
+    keys: Annotated[
+        list[str] | None, typer.Argument(help="Keys; default: standard input, one per line.")
+    ] = None,
     file: OperatorFileOption = None,
-    to: Annotated[str | None, typer.Option(help="host:port; else as the files tell.")] = None,
-    kind: Annotated[str | None, typer.Option(help="Req-Kind; else GW_CONFIG's first class.")] = None,
-    owner: Annotated[str | None, typer.Option(help="Req-Owner; else GW_CONFIG's first tenant.")] = None,
+    to: Annotated[str | None, typer.Option(help="host:port; default: as configured.")] = None,
+    kind: Annotated[str | None, typer.Option(help="Req-Kind; default: GW_CONFIG's first class.")] = None,
+    owner: Annotated[str | None, typer.Option(help="Req-Owner; default: GW_CONFIG's first tenant.")] = None,
     deadline: Annotated[float, typer.Option(help="Req-Deadline in seconds.", min=0.001)] = 1.0,
 ) -> None:
-    """Send one batch of reads and print its answer.
+    """Send one batch of reads and print the response.
 
-    Ends with 0 if all was served, with 1 if a part was not, and with 2 if there is no answer.
+    Exits with 0 if all reads are served, with 1 if some are not, and with 2 without a valid response.
     """
     from .batch_client import BatchError, send_batch
 
@@ -50,10 +52,10 @@
 
 
 def _batch_endpoint(loaded: config.Config | None, operators: OperatorFile) -> tuple[str, int]:
-    """Return the batch listener's address, as the files state it."""
+    """Return the address of the batch listener from the configuration files."""
     port = operators.optional_integer("multiget_listen")
     if loaded is None or not port:
-        raise ValueError("no door for batches: name one by --to, or by -f a file that sets multiget_listen")
+        raise ValueError("no batch listener: use --to, or -f with a file that sets multiget_listen")
     return loaded.listen[0], port
 
 
@@ -62,5 +64,5 @@
 
 
 def add(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Add the commands of this group to the application."""
     app.command()(mget)
--- a/rosepick/cli/quorum_session.py
+++ b/rosepick/cli/quorum_session.py
@@ -1,6 +1,6 @@
-"""What the commands of a fleet share: their options, the fleet's file, and operations on the quorum.
+"""Shared functions of the fleet commands: options, the fleet file, and operations on the quorum.
 
-Nothing of the extra `fleet` is imported before one of its commands runs.
+Dependencies of the extra `fleet` are imported only when one of its commands runs.
 """
 
 from __future__ import annotations
@@ -21,35 +21,35 @@
     from ..coordination.quorum_client import QuorumClient
     from ..settings.fleet_file import FleetFile
 
-FleetFileOption = Annotated[Path, typer.Option("--fleet", envvar="ROSEPICK_FLEET", help="The fleet's file.")]
-JsonOption = Annotated[bool, typer.Option("--json", help="As JSON.")]
-ReasonOption = Annotated[str, typer.Option("--why", help="For the history and for whoever looks later.")]
-WatchOption = Annotated[bool, typer.Option("--watch", help="Again and again.")]
+FleetFileOption = Annotated[Path, typer.Option("--fleet", envvar="ROSEPICK_FLEET", help="The fleet file.")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
+ReasonOption = Annotated[str, typer.Option("--why", help="The reason, recorded in the history.")]
+WatchOption = Annotated[bool, typer.Option("--watch", help="Refresh until interrupted.")]
 DEFAULT_FLEET_FILE = Path("deploy/fleet.toml")
 
 OPERATION_TIMEOUT_MS = 3_000.0
-STATUS_TIMEOUT_MS = 1_500.0  # of a read of all replicas' status
+STATUS_TIMEOUT_MS = 1_500.0  # for reading the status of all replicas
 LOOP_STEP_S = 0.02
 CLIENT_ID_BITS = 128
-# exit statuses, apart from those that a command under a lease is likely to have
+# exit statuses that a command under a lease is unlikely to use
 EXIT_NO_QUORUM = 69
 EXIT_REFUSED = 77
 
 
 def require_fleet_extra() -> None:
-    """End with an error if a library of the extra `fleet` is missing; runs before each command of a group."""
+    """Exit with an error if a library of the extra `fleet` is missing; runs before each command."""
     with require_extra("fleet"):
         import msgspec  # noqa: F401 - only whether it is there
         import pydantic  # noqa: F401 - only whether it is there
 
 
 def current_actor() -> str:
-    """Return who runs this command, as user@host, for the history."""
+    """Return the user of this command as user@host, for the history."""
     return f"{os.environ.get('USER', 'somebody')}@{os.uname().nodename}"
 
 
 def load_fleet_or_exit(path: Path) -> tuple[FleetFile, bytes]:
-    """Return the fleet's file and its key; end with a line for each fault if it cannot be used."""
+    """Return the fleet file and its key; if it has faults, exit with a line for each."""
     with require_extra("fleet"):
         from ..coordination.quorum_connection import check_key_present
         from ..settings import fleet_file
@@ -64,10 +64,10 @@
 
 
 def connect_quorum(path: Path) -> tuple[QuorumClient, FleetFile]:
-    """Return a client of the fleet's quorum, on an event loop of its own, and the fleet's file."""
+    """Return a client of the fleet's quorum, on its own event loop, and the fleet file."""
     import random
 
-    fleet, key = load_fleet_or_exit(path)  # first: it reports a missing extra, which the imports below need
+    fleet, key = load_fleet_or_exit(path)  # first, as it reports a missing extra that the imports below need
     from ..coordination.quorum_client import QuorumClient, tcp_connections
     from ..net.boot_clock import boottime_s
     from ..net.event_loop import EventLoop
@@ -89,15 +89,15 @@
 
 
 def run_operation(client: QuorumClient, key: str, change: RegisterChange | None = None) -> OperationOutcome:
-    """Read or change a register and return the outcome; end with an error if no majority answers."""
+    """Read or change a register and return the outcome; exit with an error without a majority."""
     from ..consensus.proposer import OutcomeKind
 
     outcomes: list[OperationOutcome] = []
     client.execute(key, change, outcomes.append, OPERATION_TIMEOUT_MS)
     run_until(client, lambda: bool(outcomes), 2.0 * OPERATION_TIMEOUT_MS)
     if not outcomes or outcomes[0].kind is OutcomeKind.FAILED:
-        reason = outcomes[0].reason if outcomes else "too late"
-        exit_with_error(f"no answer from a majority: {reason}", EXIT_NO_QUORUM)
+        reason = outcomes[0].reason if outcomes else "timeout"
+        exit_with_error(f"no response from a majority: {reason}", EXIT_NO_QUORUM)
     return outcomes[0]
 
 
--- a/rosepick/cli/release.py
+++ b/rosepick/cli/release.py
@@ -1,6 +1,6 @@
-"""Commands of releases: `rosepick release` and what is under it. See docs/releases.md.
+"""The commands of `rosepick release`. See docs/releases.md.
 
-In code a release is called a rollout. Nothing of the extra `fleet` is imported before a command runs.
+The code calls a release a rollout. Dependencies of the extra `fleet` are imported only when a command runs.
 """
 
 from __future__ import annotations
@@ -38,18 +38,18 @@
     from ..fleet.rollout_state import Artifact, Rollout, RolloutState
 
 release = typer.Typer(
-    no_args_is_help=True, help="A new version or new settings for all routers, wave by wave."
+    no_args_is_help=True, help="Rollouts of a new build or new settings to all routers, in waves."
 )
 
-BuildArgument = Annotated[Path | None, typer.Argument(help="The new build's folder, as each host finds it.")]
+BuildArgument = Annotated[Path | None, typer.Argument(help="Folder of the new build on each host.")]
 SettingsOption = Annotated[
-    Path | None, typer.Option(help="New settings (GW_CONFIG's `settings`) in place of a build.")
+    Path | None, typer.Option(help="File of new settings (GW_CONFIG's `settings`), instead of a build.")
 ]
-MAX_NAMES_SHOWN = 6  # of a wave
+MAX_NAMES_SHOWN = 6  # per wave
 
 
 class ReleaseAction(Enum):
-    """What an operator does with the open release; the value is the command's name in errors."""
+    """Actions of an operator on the open release; errors name a command by the value."""
 
     HALT = "halt"
     RESUME = "resume"
@@ -65,20 +65,20 @@
 }
 
 
-# ---------------------------------------------------------------------------- a new release
+# ---------------------------------------------------------------------------- start
 
 
 @release.command()
 def start(
     build: BuildArgument = None,
     settings: SettingsOption = None,
-    old: Annotated[Path | None, typer.Option("--from", help="The build that all run now.")] = None,
-    name: Annotated[str, typer.Option(help="What people call it; else the last part of its path.")] = "",
+    old: Annotated[Path | None, typer.Option("--from", help="The build that all routers run now.")] = None,
+    name: Annotated[str, typer.Option(help="Display name; default: the file name.")] = "",
     reason: ReasonOption = "",
-    plan: Annotated[bool, typer.Option("--plan", "--dry-run", help="Say the waves, and do nothing.")] = False,
+    plan: Annotated[bool, typer.Option("--plan", "--dry-run", help="Only print the waves.")] = False,
     fleet: FleetFileOption = DEFAULT_FLEET_FILE,
 ) -> None:
-    """Bring a new version to all routers, wave by wave; back by itself if it is worse."""
+    """Roll out a new build or settings to all routers in waves; roll back if it is worse."""
     if (build is None) == (settings is None):
         exit_with_error("name a build, or --settings", 2)
     session = FleetSession(fleet)
@@ -120,7 +120,7 @@
 
 
 def _current_artifact(rollouts: RolloutState, kind: str, old: Path | None) -> Artifact:
-    """Return what all routers run now: as the option says, else as the last release left it."""
+    """Return the artifact that all routers run now, from `--from` or from the last release."""
     from ..fleet.rollout_state import SETTINGS, Artifact
 
     if old is not None:
@@ -147,34 +147,34 @@
 
 
 def _print_warnings(state: FleetState) -> None:
-    """Say what will delay the release."""
+    """Print warnings about members and halts that delay the release."""
     from ..fleet.fleet_state import MemberKind
 
     out = [name for name, member in state.members_of(MemberKind.ROUTER).items() if member.is_out]
     if out:
         print(f"out at present, and to follow when they are back: {', '.join(out)}")
     if state.halt is not None:
-        print(f"drains are halted by {state.halt.actor}: nobody goes before `fleet resume`")
+        print(f"drains are halted by {state.halt.actor}: no router leaves before `fleet resume`")
 
 
 def _start_rejection(rollouts: RolloutState, kind: str, new: Artifact, previous: Artifact) -> str:
     if rollouts.open_rollout is not None:
         rollout = rollouts.open_rollout
-        return f"release {rollout.number} ({rollout.new.name}) is open: two at a time there are not"
+        return f"release {rollout.number} ({rollout.new.name}) is still open; only one release can be open"
     baseline = rollouts.baseline.get(kind, previous)
     if new.digest == baseline.digest:
-        return f"{new.name} is what all run already"
+        return f"all routers already run {new.name}"
     return f"the fleet runs {baseline.name} ({baseline.digest}), not {previous.name} ({previous.digest})"
 
 
-# ---------------------------------------------------------------------------- how it goes
+# ---------------------------------------------------------------------------- status and history
 
 
 @release.command()
 def status(
     fleet: FleetFileOption = DEFAULT_FLEET_FILE, as_json: JsonOption = False, watch: WatchOption = False
 ) -> None:
-    """Say where the release stands, who runs what, and what it waits for."""
+    """Show the progress of the release, and what the routers of each wave run."""
     session = FleetSession(fleet)
     show_document(session, session.rollout_state, _status_page, StatusOptions(as_json, watch))
 
@@ -225,7 +225,7 @@
 
 
 def _wave_figures(rollout: Rollout, reports: list[HealthReport]) -> list[str]:
-    """Return the columns of a wave's routers: run the new version, requests for each lost one, CPU time."""
+    """Return the figures of a wave: routers on the new artifact, requests per lost one, CPU time."""
     from ..fleet.rollout_state import BUILD
 
     digests = [report.build if rollout.kind == BUILD else report.settings for report in reports]
@@ -255,34 +255,32 @@
 
 @release.command()
 def history(fleet: FleetFileOption = DEFAULT_FLEET_FILE, as_json: JsonOption = False) -> None:
-    """What happened last, with who and why."""
+    """Show the latest changes with their actors and reasons."""
     print_history(FleetSession(fleet).rollout_state.read().history, as_json)
 
 
-# ---------------------------------------------------------------------------- what operators do with it
+# ---------------------------------------------------------------------------- actions of operators
 
 
 @release.command()
 def halt(reason: ReasonOption = "", fleet: FleetFileOption = DEFAULT_FLEET_FILE) -> None:
-    """Nobody begins anything, forward or back, until `resume` or `rollback`."""
+    """Pause the release, forward or back, until `resume` or `rollback`."""
     _act_on_release(ReleaseAction.HALT, reason, fleet)
 
 
 @release.command()
 def resume(reason: ReasonOption = "", fleet: FleetFileOption = DEFAULT_FLEET_FILE) -> None:
-    """Have a release that is held go on; its wave is looked at anew."""
+    """Resume a paused release; the observation of its wave starts anew."""
     _act_on_release(ReleaseAction.RESUME, reason, fleet)
 
 
 @release.command()
 def rollback(
     reason: ReasonOption = "",
-    forward: Annotated[
-        bool, typer.Option("--forward", help="Have one that goes back go forward again.")
-    ] = False,
+    forward: Annotated[bool, typer.Option("--forward", help="Reverse a rollback.")] = False,
     fleet: FleetFileOption = DEFAULT_FLEET_FILE,
 ) -> None:
-    """Take the open release back; one that is held too."""
+    """Roll back the open release, even if it is paused."""
     _act_on_release(ReleaseAction.FORWARD if forward else ReleaseAction.ROLLBACK, reason, fleet)
 
 
@@ -309,16 +307,16 @@
 
 
 def _action_rejection(action: ReleaseAction, rollouts: RolloutState) -> str:
-    """Return why an action has changed nothing; empty if that is no error."""
+    """Return why an action was rejected; empty if that is no error."""
     if rollouts.open_rollout is None:
         return "no release is open"
     if action is ReleaseAction.RESUME:
-        return "it is not held"
+        return "the release is not paused"
     if action is ReleaseAction.FORWARD:
-        return "it does not go back"
+        return "the release is not being rolled back"
     return ""
 
 
 def add(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Add the commands of this group to the application."""
     app.add_typer(release, name="release")
--- a/rosepick/cli/replay.py
+++ b/rosepick/cli/replay.py
@@ -1,4 +1,4 @@
-"""The command `rosepick replay`: what other settings would have decided."""
+"""The command `rosepick replay`, which replays a capture under other settings."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def replay(
-    files: Annotated[list[Path], typer.Argument(help="A capture, or several that follow on one another.")],
+    files: Annotated[list[Path], typer.Argument(help="One capture, or several consecutive ones.")],
 ) -> None:
-    """Feed a capture to the decisions, under the settings of GW_CONFIG, and print what they decide otherwise.
+    """Replay a capture under the settings of GW_CONFIG and print the decisions that differ.
 
-    Ends with 0 if nothing differs, with 1 if something does, and with 2 if the capture cannot be replayed.
+    Exits with 0 if no decision differs, with 1 if one does, and with 2 if the capture cannot be replayed.
     """
     from ..capture.record_reader import MalformedLineError, RecordReader
     from ..capture.replay import ReplayError, replay
@@ -35,5 +35,5 @@
 
 
 def add(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Add the commands of this group to the application."""
     app.command()(replay)
--- a/rosepick/cli/serve.py
+++ b/rosepick/cli/serve.py
@@ -1,4 +1,4 @@
-"""Commands that serve, and that check what serving would read: serve, check, check-config, version."""
+"""The commands `serve`, `check`, `check-config` and `version`."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 def serve(
     file: OperatorFileOption = None,
-    capture: Annotated[bool, typer.Option("--capture", help="Keep a capture; SIGUSR2 writes it.")] = False,
+    capture: Annotated[bool, typer.Option("--capture", help="Record a capture; SIGUSR2 writes it.")] = False,
 ) -> None:
     """Run one router, configured by the file that GW_CONFIG names and by the operators' file."""
     from ..net.server import RouterServer
@@ -42,11 +42,11 @@
 
 def check(
     file: OperatorFileOption = None,
-    fleet: Annotated[Path | None, typer.Option("--fleet", help="The fleet's file; then only that.")] = None,
+    fleet: Annotated[Path | None, typer.Option("--fleet", help="Check only this fleet file.")] = None,
 ) -> None:
-    """Name every fault of the operators' file and of GW_CONFIG, then each value in force with its source.
+    """Report every fault of the operators' file and of GW_CONFIG, then each effective value with its source.
 
-    Ends with 0 if there is no fault, else with 1. Opens no socket.
+    Exits with 0 if there is no fault, else with 1. Opens no socket.
     """
     from .check import check_settings
 
@@ -63,7 +63,7 @@
 
 
 def check_config() -> None:
-    """Read the configuration as `serve` would and say what it holds."""
+    """Read the configuration as `serve` does and print a summary."""
     loaded = load_config_or_exit()
     directory = EndpointDirectory(loaded.names, 0.0)
     try:
@@ -77,7 +77,7 @@
 
 
 def version() -> None:
-    """Print the versions of the program and of what it runs on."""
+    """Print the versions of the program, Python and the main dependencies."""
     from importlib import metadata
 
     parts = ", ".join(f"{name} {metadata.version(name)}" for name in ("httptools", "typer"))
@@ -85,7 +85,7 @@
 
 
 def add(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Add the commands of this group to the application."""
     app.command()(serve)
     app.command()(check)
     app.command("check-config")(check_config)
--- a/rosepick/cli/witness.py
+++ b/rosepick/cli/witness.py
@@ -1,4 +1,4 @@
-"""Commands of the quorum's replicas: `rosepick witness` and what is under it. See docs/leases.md."""
+"""The commands of `rosepick witness`, for the replicas of the quorum. See docs/leases.md."""
 
 from __future__ import annotations
 
@@ -31,19 +31,16 @@
     from ..consensus import messages
     from ..coordination.quorum_client import QuorumClient
 
-commands = typer.Typer(
-    no_args_is_help=True, help="Witnesses: the processes that keep what a fleet agrees on."
-)
+commands = typer.Typer(no_args_is_help=True, help="Witnesses: the replicas of a fleet's quorum.")
 commands.callback()(require_fleet_extra)
 
 MAX_RECONFIGURATION_TRIES = 4
 RECONFIGURATION_TIMEOUT_MS = 4.0 * OPERATION_TIMEOUT_MS
 REPLICA_START_TIMEOUT_MS = 10_000.0
 FLEET_ID_BYTES = 8
-EXIT_UNUSABLE_FOLDER = 3  # also the status of a replica whose disk fails
-# printed states of a replica that the commands compare
-SILENT = "silent"
-VOTES = "votes"
+EXIT_UNUSABLE_FOLDER = 3  # a replica whose disk fails also exits with this status
+SILENT = "silent"  # printed state of a replica that does not respond
+VOTES = "votes"  # printed state of a replica that votes
 COLUMN_WIDTHS = (8, 26, 8, 8, 8, 10)
 
 Members = tuple["messages.QuorumMember", ...]
@@ -52,11 +49,11 @@
 
 @commands.command("run")
 def run_replica(
-    name: Annotated[str, typer.Argument(help="Its name in the fleet's file.")],
-    folder: Annotated[Path, typer.Option("--folder", help="What it keeps; its alone.")],
+    name: Annotated[str, typer.Argument(help="Name of the witness in the fleet file.")],
+    folder: Annotated[Path, typer.Option("--folder", help="Folder for its storage; not shared.")],
     fleet: FleetFileOption = DEFAULT_FLEET_FILE,
 ) -> None:
-    """Run one witness in the foreground until SIGTERM. Ends with 3 if its disk fails."""
+    """Run one witness in the foreground until SIGTERM. Exits with 3 if its disk fails."""
     fleet_file, key = load_fleet_or_exit(fleet)
     if name not in fleet_file.witnesses:
         exit_with_error(f"{fleet} has no witness {name}", 2)
@@ -74,14 +71,14 @@
 
 @commands.command("found")
 def found_quorum(fleet: FleetFileOption = DEFAULT_FLEET_FILE) -> None:
-    """Make the witnesses of the file a quorum, once: all are up, and none has ever been in one."""
+    """Found the quorum of the witnesses in the file; all have to be up and in no quorum yet."""
     from ..consensus import messages
 
     client, fleet_file = connect_quorum(fleet)
-    replicas = read_replica_states(client, REPLICA_START_TIMEOUT_MS)  # they may be starting at this moment
+    replicas = read_replica_states(client, REPLICA_START_TIMEOUT_MS)  # the witnesses may still be starting
     missing = sorted(set(fleet_file.witnesses) - set(replicas))
     if missing:
-        exit_with_error(f"no answer from {', '.join(missing)}; all have to be up", EXIT_NO_QUORUM)
+        exit_with_error(f"no response from {', '.join(missing)}; all have to be up", EXIT_NO_QUORUM)
     members_already = [name for name, state in replicas.items() if state.quorum is not None]
     if members_already:
         exit_with_error(f"{', '.join(sorted(members_already))} is in a quorum already", EXIT_REFUSED)
@@ -123,7 +120,7 @@
 
 @commands.command("status")
 def replica_status(fleet: FleetFileOption = DEFAULT_FLEET_FILE, as_json: JsonOption = False) -> None:
-    """Say who is up, who votes, who lags, and what quorum there is. Ends with 69 if no majority votes."""
+    """Show the state of each witness and of the quorum. Exits with 69 if no majority votes."""
     client, fleet_file = connect_quorum(fleet)
     replicas = read_replica_states(client)
     quorums = [state.quorum for state in replicas.values() if state.quorum is not None]
@@ -146,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaRow:
-    """What is known of one replica; a figure is empty if the replica is silent."""
+    """The status of one replica; figures are empty if the replica does not respond."""
 
     name: str
     state: str
@@ -156,7 +153,7 @@
     up_s: int | str = ""
 
     def as_json(self) -> dict[str, int | str]:
-        """Return the row as `--json` has it."""
+        """Return the row as `--json` prints it."""
         return {
             "name": self.name,
             "is": self.state,
@@ -199,20 +196,20 @@
 
 
 def _change_members(fleet: Path, change: MemberChange) -> None:
-    """Reconfigure the quorum to other members, by a decision of the present ones."""
+    """Reconfigure the quorum to other members, by a decision of the current members."""
     from ..consensus.reconfiguration import check_member_change
 
     client, _ = connect_quorum(fleet)
     replicas = read_replica_states(client)
     quorum = client.quorum
     if quorum is None:
-        exit_with_error("no quorum answers", EXIT_NO_QUORUM)
+        exit_with_error("no response from a quorum", EXIT_NO_QUORUM)
     members = change(quorum.members, replicas)
     reason = check_member_change(quorum, members)
     if reason:
         exit_with_error(reason, EXIT_REFUSED)
     if not _reconfigure(client, members):
-        exit_with_error("another change of the quorum came first: look with `witness status`", EXIT_REFUSED)
+        exit_with_error("another change of the quorum was first: check with `witness status`", EXIT_REFUSED)
     successor = client.quorum
     assert successor is not None
     names = ", ".join(member.name for member in successor.members)
@@ -220,9 +217,9 @@
 
 
 def _reconfigure(client: QuorumClient, members: Members) -> bool:
-    """Return whether the quorum has these members in the end.
+    """Return whether the quorum has these members after the reconfiguration.
 
-    Another client may have completed a reconfiguration to the old members meanwhile; then it is tried again.
+    Another client may complete a reconfiguration to the old members meanwhile; then this one is retried.
     """
     from ..consensus.reconfiguration import QuorumReconfiguration
 
@@ -231,7 +228,7 @@
         finished: list[QuorumReconfiguration] = []
         client.reconfigure(members, finished.append)
         if not run_until(client, partial(bool, finished), RECONFIGURATION_TIMEOUT_MS):
-            exit_with_error("not finished: the same command goes on with it", EXIT_NO_QUORUM)
+            exit_with_error("not finished: run the same command again to continue", EXIT_NO_QUORUM)
         quorum = client.quorum
         if quorum is not None and quorum.members == members:
             return True
@@ -242,15 +239,15 @@
 
 @commands.command()
 def replace(name: Annotated[str, typer.Argument()], fleet: FleetFileOption = DEFAULT_FLEET_FILE) -> None:
-    """Take a witness's new storage into the quorum in place of its old one, or a new witness into it."""
+    """Replace the storage of a witness in the quorum, or add a new witness."""
     from ..consensus import messages
 
     def change(members: Members, replicas: dict[str, messages.StatusReply]) -> Members:
         if name not in replicas:
-            exit_with_error(f"{name} does not answer: start it first", EXIT_NO_QUORUM)
+            exit_with_error(f"{name} does not respond: start it first", EXIT_NO_QUORUM)
         new = messages.QuorumMember(name, replicas[name].storage_id)
         if new in members:
-            exit_with_error(f"{name} is in the quorum with that storage", EXIT_REFUSED)
+            exit_with_error(f"{name} is already in the quorum with this storage", EXIT_REFUSED)
         return (*(member for member in members if member.name != name), new)
 
     _change_members(fleet, change)
@@ -258,7 +255,7 @@
 
 @commands.command()
 def remove(name: Annotated[str, typer.Argument()], fleet: FleetFileOption = DEFAULT_FLEET_FILE) -> None:
-    """Take a witness out of the quorum."""
+    """Remove a witness from the quorum."""
 
     def change(members: Members, _replicas: dict[str, messages.StatusReply]) -> Members:
         if all(member.name != name for member in members):
@@ -269,5 +266,5 @@
 
 
 def add(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Add the commands of this group to the application."""
     app.add_typer(commands, name="witness")
