--- a/tests/golden_command_forms.py
+++ b/tests/golden_command_forms.py
@@ -1,7 +1,7 @@
-"""The command line: names of commands and options, what commands print, and how they end.
+"""The command line: names of commands and options, the output of commands, and their exit statuses.
 
-A part of golden_forms, with the same rules: program names are imported here only. Commands run in this
-process; those of the fleet ask replicas in memory in place of the connections to witnesses.
+This module is a part of golden_forms and follows its rules: program names are imported only here. Commands
+run in this process; fleet commands use replicas in memory in place of connections to witnesses.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 from rosepick.leases import lease_record
 
 from .golden_capture_forms import router_document
-from .golden_fleet_forms import LEASE, ledger_value, release_value, write_register
+from .golden_fleet_forms import LEASE, fleet_state_value, rollout_state_value, write_register
 from .golden_quorum_forms import QUORUM, replica
 from .golden_support import GOLDEN, Form, as_json, temporary_folder
 from .scenario import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
-OVER = f"{quorum_client.__name__}.{quorum_client.tcp_connections.__name__}"
+CONNECTIONS_TARGET = f"{quorum_client.__name__}.{quorum_client.tcp_connections.__name__}"
 FLEET_FILE = '[witnesses]\nw1 = "127.0.0.1:7901"\nw2 = "127.0.0.1:7902"\nw3 = "127.0.0.1:7903"\n'
 BROKEN_FLEET_FILE = '[witnesses]\nw1 = "nowhere"\n'
 OPERATORS_FILE = "# ours\ncapture_segments 3\nidle_timeout 1.5 s\nmultiget_listen 5003\n"
@@ -59,10 +59,10 @@
     "release history --json",
     "release history",
 )
-"""Commands of which the exit status and all that they print are recorded."""
+"""Commands whose exit status and output are recorded."""
 
 OUTPUT_WHEN_CHANGED = ("check-config", "replay capture.txt")
-"""The same, with settings under which the router decides otherwise."""
+"""Commands whose exit status and output are recorded under settings that change decisions."""
 
 STATUS = (
     "nonsense",
@@ -103,14 +103,14 @@
     "lab drill none.toml",
     "lab mutations none.toml",
 )
-"""Commands of which the exit status alone is recorded: their words may become better ones."""
+"""Commands whose exit status alone is recorded, as their messages may be reworded."""
 
 
 # ------------------------------------------------------------------------------------ names
 
 
 def command_names() -> dict[str, Any]:
-    """Return every command with its options, and its arguments by place."""
+    """Return every command with its options by name and its arguments by position."""
     found: dict[str, Any] = {}
 
     def walk(command: Any, path: tuple[str, ...]) -> None:
@@ -131,7 +131,7 @@
 
 
 def _parameter(one: Any) -> dict[str, object]:
-    """Return what is promised of a parameter, without its name in the program."""
+    """Return the public properties of a parameter, without its name in the code."""
     default = one.default if isinstance(one.default, bool | int | float | str | None) else str(one.default)
     return {
         "kind": one.type.name,
@@ -148,16 +148,16 @@
 # ------------------------------------------------------------------------------------ output
 
 
-class _Memory:
-    """A way to one replica in memory."""
+class _MemoryConnection:
+    """A connection to one replica in memory."""
 
-    def __init__(self, loop: Any, name: str, witness: Acceptor, heard: Callable[..., None]) -> None:
-        self._loop, self._name, self._witness, self._heard = loop, name, witness, heard
+    def __init__(self, loop: Any, name: str, acceptor: Acceptor, handle_reply: Callable[..., None]) -> None:
+        self._loop, self._name, self._acceptor, self._handle_reply = loop, name, acceptor, handle_reply
 
     def send(self, request: messages.QuorumRequest) -> None:
-        """Answer at the loop's next turn."""
-        answer, _ = self._witness.handle(request)
-        self._loop.call_after(0.0, lambda: self._heard(self._name, answer))
+        """Deliver the reply in the next iteration of the event loop."""
+        reply, _ = self._acceptor.handle(request)
+        self._loop.call_after(0.0, lambda: self._handle_reply(self._name, reply))
 
     def close(self) -> None:
         """Do nothing."""
@@ -166,8 +166,8 @@
 def _registers() -> dict[str, RegisterState]:
     values = {
         lease_record.register_key("job"): write_register(LEASE),
-        fleet_state.fleet_state_key("main"): fleet_state.encode_fleet_state(ledger_value()),
-        rollout_state.rollout_state_key("main"): rollout_state.encode_rollout_state(release_value()),
+        fleet_state.fleet_state_key("main"): fleet_state.encode_fleet_state(fleet_state_value()),
+        rollout_state.rollout_state_key("main"): rollout_state.encode_rollout_state(rollout_state_value()),
     }
     return {
         name: RegisterState(Ballot(1, 7), Ballot(1, 7), Register(1, "a1", value))
@@ -176,21 +176,23 @@
 
 
 def in_memory(loop: Any, witnesses: Mapping[str, object], key: bytes) -> Callable[..., Mapping[str, Any]]:
-    """Stand in for the connections to witnesses: three replicas that hold the golden registers."""
+    """Return connections to three replicas in memory that hold the golden registers."""
     replicas = {one.name: replica(one.name) for one in QUORUM.members}
     for one in replicas.values():
         one.handle(messages.InstallEpochRequest(1, QUORUM, _registers()))
-    return lambda heard: {name: _Memory(loop, name, one, heard) for name, one in replicas.items()}
+    return lambda handle_reply: {
+        name: _MemoryConnection(loop, name, one, handle_reply) for name, one in replicas.items()
+    }
 
 
 def _run(app: typer.Typer, command: str) -> tuple[int, str]:
-    ended = CliRunner().invoke(app, shlex.split(command), env={"USER": "somebody"})
-    assert ended.exception is None or isinstance(ended.exception, SystemExit), command
-    return ended.exit_code, ended.stdout
+    result = CliRunner().invoke(app, shlex.split(command), env={"USER": "somebody"})
+    assert result.exception is None or isinstance(result.exception, SystemExit), command
+    return result.exit_code, result.stdout
 
 
 def run_commands() -> dict[str, object]:
-    """Run all commands in a folder with their files."""
+    """Run all commands in a temporary folder with their input files."""
     limits = {**SETTINGS["limits"], "max_attempts": 1}
     files = {
         "changed.json": json.dumps(router_document({**SETTINGS, "limits": limits})).encode(),
@@ -206,7 +208,7 @@
         temporary_folder() as folder,
         contextlib.chdir(folder),
         mock.patch.dict(os.environ, environment),
-        mock.patch(OVER, in_memory),
+        mock.patch(CONNECTIONS_TARGET, in_memory),
     ):
         for name, data in files.items():
             (folder / name).write_bytes(data)
--- a/tests/golden_fleet_forms.py
+++ b/tests/golden_fleet_forms.py
@@ -1,7 +1,7 @@
 """Representative values of the stored and wire forms of leases and the fleet.
 
-A part of golden_forms, with the same rules: program names are imported here only, values are built by
-position, and enumerations by value.
+This module is a part of golden_forms and follows its rules: program names are imported only here, values are
+built by position, and enumerations by value.
 """
 
 from __future__ import annotations
@@ -18,14 +18,13 @@
 from rosepick.coordination.artifact_fetch import digest_of
 from rosepick.fleet import drain_permits, failure_detector, fleet_state, leader_steps, rollout_state
 from rosepick.fleet.canary_analysis import CanaryAnalysis, HealthMetrics
-from rosepick.fleet.deployer import ArtifactStatus, Deployer
-from rosepick.fleet.deployer import DeployPolicy as CarrierTerms
+from rosepick.fleet.deployer import ArtifactStatus, Deployer, DeployPolicy
 from rosepick.fleet.disruption_budget import DisruptionBudget, Limit
 from rosepick.leases import lease_record
 
 from .golden_support import GOLDEN, Form, as_json, temporary_folder, text_of
 
-NOON = 1_700_000_000.25  # seconds of the wall clock
+NOON = 1_700_000_000.25  # wall clock in seconds
 
 
 # ------------------------------------------------------------------------------------ leases
@@ -52,7 +51,7 @@
 
 
 def lease_changes() -> list[RegisterChange]:
-    """Return the changes of a lease's life."""
+    """Return the changes of a lease from its acquisition to a forced release."""
     one, two = 2**61 + 1, 9
     return [
         lease_record.acquire(lease_record.LeaseRecord(), one, "one", 10_000.0),
@@ -67,18 +66,18 @@
 
 
 def lease_history() -> list[bytes]:
-    """Return a lease's value after each change of its life."""
+    """Return the value of a lease's register after each of `lease_changes`."""
     changes = lease_changes()
     return [register_after(changes[:count]).value for count in range(1, len(changes) + 1)]
 
 
 def changed(value: bytes, change: RegisterChange) -> bytes:
-    """Return what a change makes of a register's value."""
+    """Return the value of a register after a change."""
     return change(Register(1, "", value))
 
 
 def write_register(value: object) -> bytes:
-    """Encode what a register holds: a lease, or a member's report."""
+    """Encode the value of a register: a lease or a health report."""
     return msgspec.msgpack.encode(value)
 
 
@@ -94,11 +93,11 @@
 )
 
 
-def ledger_changes() -> list[RegisterChange]:
-    """Changes that fill a ledger with members in every state."""
+def fleet_state_changes() -> list[RegisterChange]:
+    """Return changes that fill a fleet state with members in every phase."""
     names = ("r1", "r2", "r3", "r4", "r5", "r6")
     rules = BUDGET.digest()
-    found = [
+    changes = [
         fleet_state.join_member(
             name,
             fleet_state.MemberProfile(fleet_state.MemberKind(0), "e" if n % 2 else "w", 1000 + n),
@@ -108,61 +107,63 @@
         for n, name in enumerate(names)
     ]
     cache = fleet_state.MemberProfile(fleet_state.MemberKind(1), "e", 500)
-    found += [fleet_state.join_member("c1", cache, rules, NOON + 1)]
+    changes += [fleet_state.join_member("c1", cache, rules, NOON + 1)]
     seen = dict.fromkeys((*names, "c1"), False)
-    found += [fleet_state.apply_health_summary(seen, 1000, 930, 1, "", "warden", NOON + 2)]
-    found += [fleet_state.request_drain(names[:5], "me@host", "new kernels", NOON + 3)]
-    found += [fleet_state.request_drain(["c1"], "me@host", "its host dies", NOON + 3, True, True)]
-    found += [fleet_state.request_drain(["r6"], "release 3", "to run new", NOON + 3, False, False, True)]
+    changes += [fleet_state.apply_health_summary(seen, 1000, 930, 1, "", "warden", NOON + 2)]
+    changes += [fleet_state.request_drain(names[:5], "me@host", "new kernels", NOON + 3)]
+    changes += [fleet_state.request_drain(["c1"], "me@host", "its host dies", NOON + 3, True, True)]
+    changes += [fleet_state.request_drain(["r6"], "release 3", "to run new", NOON + 3, False, False, True)]
 
     def allow(seen: fleet_state.FleetState, name: str) -> bool:
         return True
 
-    found += [drain_permits.acquire_permit(name, allow, NOON + 4) for name in (*names[:4], "c1")]
+    changes += [drain_permits.acquire_permit(name, allow, NOON + 4) for name in (*names[:4], "c1")]
     for permit, name in enumerate(names[1:4], 2):
-        found += [drain_permits.begin_drain(name, permit, NOON + 5)]
-    found += [drain_permits.mark_out("r3", 3, NOON + 6), drain_permits.mark_out("r4", 4, NOON + 6)]
-    found += [
+        changes += [drain_permits.begin_drain(name, permit, NOON + 5)]
+    changes += [drain_permits.mark_out("r3", 3, NOON + 6), drain_permits.mark_out("r4", 4, NOON + 6)]
+    changes += [
         drain_permits.mark_rejoining("r4", 4, NOON + 7),
         drain_permits.withdraw_permit("r1", 1, NOON + 7),
     ]
-    found += [fleet_state.cancel_drain(["r5"], "me@host", NOON + 8)]
-    found += [fleet_state.evict_member("r5", "me@host", "sold", NOON + 8)]
-    found += [fleet_state.apply_health_summary({"r6": True}, 800, 900, 2, "", "warden", NOON + 9)]
-    found += [fleet_state.halt_drains("me@host", "a storm", NOON + 10)]
-    return found
+    changes += [fleet_state.cancel_drain(["r5"], "me@host", NOON + 8)]
+    changes += [fleet_state.evict_member("r5", "me@host", "sold", NOON + 8)]
+    changes += [fleet_state.apply_health_summary({"r6": True}, 800, 900, 2, "", "warden", NOON + 9)]
+    changes += [fleet_state.halt_drains("me@host", "a storm", NOON + 10)]
+    return changes
 
 
-def ledger_value() -> fleet_state.FleetState:
-    """Return a ledger with members in every state."""
-    return fleet_state.decode_fleet_state(register_after(ledger_changes()))
+def fleet_state_value() -> fleet_state.FleetState:
+    """Return a fleet state with members in every phase."""
+    return fleet_state.decode_fleet_state(register_after(fleet_state_changes()))
 
 
-def read_ledger(data: bytes) -> object:
-    """Decode a ledger."""
+def read_fleet_state(data: bytes) -> object:
+    """Decode a fleet state."""
     return fleet_state.decode_fleet_state(Register(1, "", data))
 
 
 def inflated(data: bytes) -> bytes:
-    """Return the form's byte and the plain document: what deflating makes of it is the library's choice."""
+    """Return the version byte and the decompressed document, as compressed bytes depend on the library."""
     return data[:1] + zlib.decompress(data[1:], -15)
 
 
 def evidence() -> tuple[float, ...]:
-    """Return what a judge stores of a wave that is being watched."""
-    judge = CanaryAnalysis({name: f"z{n % 2}" for n, name in enumerate(("r1", "r2", "r3", "r4"))}, 0.01, 2.0)
-    for turn in range(40):
-        if turn == 20:
-            judge.begin_comparison(["r1"], ["r2", "r3", "r4"])
-        judge.add_interval(
+    """Return the state that a canary analysis exports during a wave."""
+    analysis = CanaryAnalysis(
+        {name: f"z{n % 2}" for n, name in enumerate(("r1", "r2", "r3", "r4"))}, 0.01, 2.0
+    )
+    for interval in range(40):
+        if interval == 20:
+            analysis.begin_comparison(["r1"], ["r2", "r3", "r4"])
+        analysis.add_interval(
             {
                 f"r{n}": HealthMetrics(
-                    50.0 + (n * turn) % 7, n / 8 + turn % 3, 0.125 + n / 64, 40_000.0 + n, 1.0 + n / 4
+                    50.0 + (n * interval) % 7, n / 8 + interval % 3, 0.125 + n / 64, 40_000.0 + n, 1.0 + n / 4
                 )
                 for n in (1, 2, 3, 4)
             }
         )
-    return judge.export_state()
+    return analysis.export_state()
 
 
 OLD, NEW = (
@@ -171,11 +172,13 @@
 )
 
 
-def release_changes() -> list[RegisterChange]:
-    """Changes of a record of releases: one closed, one open that is held."""
-    told = [("r1",), ("r2", "r3"), ("r4",)]
+def rollout_state_changes() -> list[RegisterChange]:
+    """Return changes of a rollout state with a closed rollout and a paused one."""
+    waves = [("r1",), ("r2", "r3"), ("r4",)]
 
-    def led(register: Register, token: int, actor: str, timestamp_s: float, action: str, *rest: Any) -> bytes:
+    def apply_step(
+        register: Register, token: int, actor: str, timestamp_s: float, action: str, *rest: Any
+    ) -> bytes:
         rollout = rollout_state.decode_rollout_state(register).open_rollout
         assert rollout is not None
         context = leader_steps.LeaderContext(rollout, token, actor, timestamp_s)
@@ -183,57 +186,57 @@
         return leader_steps.apply_leader_update(context, update)(register)
 
     def step(*rest: Any) -> RegisterChange:
-        return lambda register: led(register, *rest)
+        return lambda register: apply_step(register, *rest)
 
     settings = (
         rollout_state.Artifact("as installed", "", ""),
         rollout_state.Artifact("wide", "2c2c", "/etc/wide.json"),
     )
-    found = [
+    changes = [
         rollout_state.start_rollout("settings", settings[1], settings[0], [("r1", "r2")], "me", "wider", NOON)
     ]
-    found += [step(1, "leader", NOON + n, "next", "usual is known") for n in (1, 2)]
-    found += [step(1, "leader", NOON + 3, "close", "nothing came up")]
-    found += [rollout_state.start_rollout("build", NEW, OLD, told, "me", "faster", NOON + 4)]
-    found += [step(2, "leader", NOON + 5, "next", "usual is known", None, None, evidence())]
-    found += [step(2, "leader", NOON + 6, "left", "", 2000, {"r1": "it is lost"})]
-    found += [
+    changes += [step(1, "leader", NOON + n, "next", "usual is known") for n in (1, 2)]
+    changes += [step(1, "leader", NOON + 3, "close", "nothing came up")]
+    changes += [rollout_state.start_rollout("build", NEW, OLD, waves, "me", "faster", NOON + 4)]
+    changes += [step(2, "leader", NOON + 5, "next", "usual is known", None, None, evidence())]
+    changes += [step(2, "leader", NOON + 6, "left", "", 2000, {"r1": "it is lost"})]
+    changes += [
         rollout_state.pause_rollout("me", "wait", NOON + 7),
         rollout_state.resume_rollout("me", "go", NOON + 8),
     ]
-    found += [
+    changes += [
         step(2, "leader", NOON + 9, "worse", "memory: +40%"),
         rollout_state.roll_forward("me", "no", NOON + 10),
     ]
-    found += [step(3, "leader", NOON + 11, "left", "", 4000, {"r2": "no room"}, evidence())]
-    found += [step(3, "leader", NOON + 12, "ask", "not enough to tell")]
-    return found
+    changes += [step(3, "leader", NOON + 11, "left", "", 4000, {"r2": "no room"}, evidence())]
+    changes += [step(3, "leader", NOON + 12, "ask", "not enough to tell")]
+    return changes
 
 
-def release_value() -> rollout_state.RolloutState:
-    """Return a record with a release that is held."""
-    return rollout_state.decode_rollout_state(register_after(release_changes()))
+def rollout_state_value() -> rollout_state.RolloutState:
+    """Return a rollout state with a paused rollout."""
+    return rollout_state.decode_rollout_state(register_after(rollout_state_changes()))
 
 
-def read_release(data: bytes) -> object:
-    """Decode a record of releases."""
+def read_rollout_state(data: bytes) -> object:
+    """Decode a rollout state."""
     return rollout_state.decode_rollout_state(Register(1, "", data))
 
 
-def goals_of_release() -> object:
-    """Return what routers are told to run by the record, and how it is said."""
-    value = release_value()
+def rollout_targets() -> object:
+    """Return the target artifacts of routers, and the texts that describe the rollout."""
+    value = rollout_state_value()
     assert value.open_rollout is not None
-    goals = {}
+    targets = {}
     for name in ("r1", "r2", "r4", "r9"):
         for kind in ("build", "settings"):
-            thing = value.artifact_for(name, kind)
-            goals[f"{name} {kind}"] = None if thing is None else thing.digest
+            artifact = value.artifact_for(name, kind)
+            targets[f"{name} {kind}"] = None if artifact is None else artifact.digest
     return [
-        goals,
+        targets,
         value.drain_actor,
         rollout_state.describe(value.open_rollout),
-        rollout_state.plan_waves(ledger_value(), [1, "25%", "zone", "rest"]),
+        rollout_state.plan_waves(fleet_state_value(), [1, "25%", "zone", "rest"]),
     ]
 
 
@@ -258,12 +261,12 @@
 
 
 def read_report(data: bytes) -> object:
-    """Decode a member's report."""
+    """Decode a health report."""
     return failure_detector.decode_health_report(Register(1, "", data))
 
 
 def register_names() -> object:
-    """Return the names of registers."""
+    """Return the keys of registers."""
     group = [
         fleet_state.fleet_state_key("main"),
         rollout_state.rollout_state_key("main"),
@@ -274,9 +277,9 @@
 
 
 class _Host:
-    """A host on which every version is ready."""
+    """An artifact store in which every artifact is ready."""
 
-    def prepare(self, kind: str, thing: Any) -> ArtifactStatus:
+    def prepare(self, kind: str, artifact: Any) -> ArtifactStatus:
         return ArtifactStatus(True)
 
     def apply_settings(self, kind: str, digest: str) -> None:
@@ -287,50 +290,52 @@
 
 
 def agent_file() -> bytes:
-    """Write an agent's file: its permit, its process, and a version on probation that is given up."""
+    """Write the state file of an agent: permit, process, and an artifact that failed its probation."""
     with temporary_folder() as folder:
-        kept = AgentStateFile(folder)
-        kept.save(3, 17)
-        kept.put(pid=4711, began="1234567", ran="0a0a")
-        kept.put(first=["0a0a", "/builds/old"])
-        carrier = Deployer("r1", kept, _Host(), CarrierTerms(), {"build": "0a0a", "settings": ""})
-        value = register_after(release_changes()[:6])
-        carrier.update_state(rollout_state.decode_rollout_state(value), 0.0)
-        carrier.advance(0.0, fleet_state.MemberPhase(3), False, False)
-        carrier.advance(1.0, fleet_state.MemberPhase(4), False, False)
-        carrier.advance(40_000.0, fleet_state.MemberPhase(4), False, False)
-        kept.close()
+        state_file = AgentStateFile(folder)
+        state_file.save(3, 17)
+        state_file.put(pid=4711, began="1234567", ran="0a0a")
+        state_file.put(first=["0a0a", "/builds/old"])
+        deployer = Deployer("r1", state_file, _Host(), DeployPolicy(), {"build": "0a0a", "settings": ""})
+        value = register_after(rollout_state_changes()[:6])
+        deployer.update_state(rollout_state.decode_rollout_state(value), 0.0)
+        deployer.advance(0.0, fleet_state.MemberPhase(3), False, False)
+        deployer.advance(1.0, fleet_state.MemberPhase(4), False, False)
+        deployer.advance(40_000.0, fleet_state.MemberPhase(4), False, False)
+        state_file.close()
         return (folder / "agent.json").read_bytes()
 
 
 def read_agent_file(data: bytes) -> object:
-    """Return what an agent and its part in releases find in a file."""
+    """Return the values that an agent and its deployer read from a state file."""
     with temporary_folder() as folder:
         (folder / "agent.json").write_bytes(data)
-        kept = AgentStateFile(folder)
-        carrier = Deployer("r1", kept, _Host(), CarrierTerms(), {})
-        carrier.update_state(rollout_state.decode_rollout_state(register_after(release_changes()[:6])), 0.0)
-        found = [
-            kept.load(),
-            carrier.active_digests,
-            carrier.previous_digests,
-            carrier.probation_kind,
-            carrier.describe_failure(),
+        state_file = AgentStateFile(folder)
+        deployer = Deployer("r1", state_file, _Host(), DeployPolicy(), {})
+        deployer.update_state(
+            rollout_state.decode_rollout_state(register_after(rollout_state_changes()[:6])), 0.0
+        )
+        values = [
+            state_file.load(),
+            deployer.active_digests,
+            deployer.previous_digests,
+            deployer.probation_kind,
+            deployer.describe_failure(),
         ]
-        found += [kept.get(name) for name in ("pid", "began", "ran", "first")]
-        kept.close()
-        return found
+        values += [state_file.get(name) for name in ("pid", "began", "ran", "first")]
+        state_file.close()
+        return values
 
 
-def agent_holds() -> object:
-    """Return what `read_agent_file` is to find."""
+def expected_agent_state() -> object:
+    """Return the expected result of `read_agent_file`."""
     runs = {"build": "0a0a", "settings": ""}
-    trouble = "build 1b1b version it does not serve after 30 s"
-    return [(3, 17), runs, {"build": "0a0a"}, "", trouble, 4711, "1234567", "0a0a", ["0a0a", "/builds/old"]]
+    failure = "build 1b1b version it does not serve after 30 s"
+    return [(3, 17), runs, {"build": "0a0a"}, "", failure, 4711, "1234567", "0a0a", ["0a0a", "/builds/old"]]
 
 
 def digests() -> object:
-    """Return the digests that processes compare: of a budget, of a settings file and of a build's folder."""
+    """Return the digests that processes compare: of budgets, a settings file and a build folder."""
     with temporary_folder() as folder:
         settings = text_of(folder, "settings.json", b'{"rules": {}}\n')
         build = folder / "build"
@@ -342,19 +347,17 @@
 
 
 def fields_of_registers() -> object:
-    """Return what the golden registers of leases and the fleet hold, by the names of their fields.
+    """Return the fields of the golden registers of leases and the fleet, read by name.
 
-    Values are built by position elsewhere, which does not show two fields of one type that change places.
+    Other forms build values by position, which does not detect two swapped fields of the same type.
     """
     lease = lease_record.decode_record(Register(1, "", (GOLDEN / "lease.bin").read_bytes()))
-    book = fleet_state.decode_fleet_state(Register(1, "", (GOLDEN / "ledger.bin").read_bytes()))
-    history = rollout_state.decode_rollout_state(Register(1, "", (GOLDEN / "release.bin").read_bytes()))
+    state = fleet_state.decode_fleet_state(Register(1, "", (GOLDEN / "ledger.bin").read_bytes()))
+    releases = rollout_state.decode_rollout_state(Register(1, "", (GOLDEN / "release.bin").read_bytes()))
     report = failure_detector.decode_health_report(Register(1, "", (GOLDEN / "report.bin").read_bytes()))
-    open_one = history.open_rollout
-    assert (
-        book.halt is not None and open_one is not None and open_one.pause is not None and report is not None
-    )
-    thing = open_one.new
+    rollout = releases.open_rollout
+    assert state.halt is not None and rollout is not None and rollout.pause is not None and report is not None
+    artifact = rollout.new
     return {
         "lease": [
             lease.token,
@@ -367,16 +370,16 @@
         ],
         "line": [[waiter.owner_id, waiter.name] for waiter in lease.queue],
         "ledger": [
-            book.format_version,
-            book.budget_digest,
-            book.last_permit_number,
-            book.last_request_number,
-            book.token,
-            book.capacity_permille,
-            book.typical_hit_permille,
-            book.sweep_count,
+            state.format_version,
+            state.budget_digest,
+            state.last_permit_number,
+            state.last_request_number,
+            state.token,
+            state.capacity_permille,
+            state.typical_hit_permille,
+            state.sweep_count,
         ],
-        "halt": [book.halt.actor, book.halt.reason, book.halt.timestamp_s],
+        "halt": [state.halt.actor, state.halt.reason, state.halt.timestamp_s],
         "members": {
             name: [
                 one.kind,
@@ -388,7 +391,7 @@
                 one.evicted,
                 one.was_healthy,
             ]
-            for name, one in book.members.items()
+            for name, one in state.members.items()
         },
         "wants": {
             name: [
@@ -399,23 +402,24 @@
                 one.drain_request.ignores_minimum,
                 one.drain_request.uses_rollback_limit,
             ]
-            for name, one in book.members.items()
+            for name, one in state.members.items()
             if one.drain_request is not None
         },
         "history": [
-            [line.timestamp_s, line.actor, line.message] for line in (*book.history[:2], *history.history[:2])
+            [line.timestamp_s, line.actor, line.message]
+            for line in (*state.history[:2], *releases.history[:2])
         ],
-        "record": [history.format_version, history.last_number, history.token, sorted(history.baseline)],
-        "release": [open_one.number, open_one.kind, open_one.new.name, open_one.old.name, open_one.waves],
+        "record": [releases.format_version, releases.last_number, releases.token, sorted(releases.baseline)],
+        "release": [rollout.number, rollout.kind, rollout.new.name, rollout.old.name, rollout.waves],
         "stands": [
-            open_one.phase,
-            open_one.wave,
-            open_one.watched_ms,
-            open_one.awaits_operator,
-            open_one.operator_accepted,
+            rollout.phase,
+            rollout.wave,
+            rollout.watched_ms,
+            rollout.awaits_operator,
+            rollout.operator_accepted,
         ],
-        "watched": [open_one.pause.reason, open_one.left_behind, len(open_one.evidence)],
-        "thing": [thing.name, thing.digest, thing.source],
+        "watched": [rollout.pause.reason, rollout.left_behind, len(rollout.evidence)],
+        "thing": [artifact.name, artifact.digest, artifact.source],
         "report": [
             report.run_id,
             report.sequence,
@@ -433,12 +437,14 @@
 FLEET_FORMS: dict[str, Form] = {
     "lease.bin": Form(lambda: LEASE, write_register, read_lease),
     "lease-history.json": Form(lambda: [value.hex() for value in lease_history()], as_json),
-    "ledger.bin": Form(ledger_value, fleet_state.encode_fleet_state, read_ledger, inflated),
-    "release.bin": Form(release_value, rollout_state.encode_rollout_state, read_release, inflated),
-    "release-goals.json": Form(goals_of_release, as_json),
+    "ledger.bin": Form(fleet_state_value, fleet_state.encode_fleet_state, read_fleet_state, inflated),
+    "release.bin": Form(
+        rollout_state_value, rollout_state.encode_rollout_state, read_rollout_state, inflated
+    ),
+    "release-goals.json": Form(rollout_targets, as_json),
     "report.bin": Form(lambda: REPORT, write_register, read_report),
     "register-fields.json": Form(fields_of_registers, as_json),
     "register-names.json": Form(register_names, as_json),
     "digests.json": Form(digests, as_json),
-    "agent.json": Form(agent_holds, lambda _: agent_file(), read_agent_file),
+    "agent.json": Form(expected_agent_state, lambda _: agent_file(), read_agent_file),
 }
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -1,4 +1,4 @@
-"""`rosepick check` by the command line: planted faults, odd files, and the values in force."""
+"""The command `rosepick check`: faults that it has to report, unusual files, and the effective values."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     "settings": SETTINGS,
     "known": {"rev": 41, "all": True, "targets": [target("s1", 5001), target("origin", 5002)]},
 }
-# runs the program, and exits at once with 9 if anything opens a socket
+# runs the program and exits immediately with status 9 if anything opens a socket
 NO_SOCKETS = """
 import os, runpy, sys
 sys.addaudithook(lambda event, given: os._exit(9) if event == "socket.__new__" else None)
@@ -42,7 +42,7 @@
     def check(
         self, conf: str | bytes | None = "", config: str | None = None
     ) -> tuple[int, list[str], list[str]]:
-        """Return the exit status, the faults and the values in force."""
+        """Return the exit status, the faults and the effective values."""
         path = self.folder / "rosepick.conf"
         if conf is not None:
             path.write_bytes(conf if isinstance(conf, bytes) else conf.encode())
@@ -60,8 +60,8 @@
         faults, blank, values = completed.stdout.rpartition("\n\n")
         return completed.returncode, faults.splitlines(), values.splitlines()
 
-    def test_three_planted_faults(self) -> None:
-        """A typo in a name, a value out of its range, and a setting that GW_CONFIG lacks."""
+    def test_faults_of_both_files_are_reported_at_once(self) -> None:
+        """A misspelled name, a value out of range, and a setting that GW_CONFIG lacks are all reported."""
         del self.document["limits"]["memory_mb"]
         status, faults, values = self.check("# ours\ncapture_segmets 4\n\ncapture_segment_kb 9000 # big\n")
         self.assertEqual(
@@ -77,7 +77,7 @@
         )
         self.assertIn("capture_segments 4 (default)", values)
 
-    def test_without_faults(self) -> None:
+    def test_valid_files_show_each_effective_value_with_its_source(self) -> None:
         status, faults, values = self.check("capture_segments 3")
         self.assertEqual((status, faults), (0, []))
         for value in (
@@ -92,7 +92,7 @@
         ):
             self.assertIn(value, values)
 
-    def test_a_ring_over_768_kib(self) -> None:
+    def test_capture_ring_over_768_kib_is_a_fault(self) -> None:
         status, faults, _ = self.check("capture_segment_kb 256\ncapture_segments 4\n")
         self.assertEqual(
             (status, faults),
@@ -106,18 +106,18 @@
             ),
         )
 
-    def test_a_name_that_comes_again_cites_both_lines(self) -> None:
+    def test_repeated_name_cites_both_lines(self) -> None:
         _, faults, values = self.check("capture_segments 3\ncapture_segments 2")
         self.assertEqual(faults, ["rosepick.conf line 2: capture_segments is set already on line 1"])
         self.assertIn("capture_segments 3 (rosepick.conf line 1)", values)
 
-    def test_a_folder_that_is_not_there(self) -> None:
+    def test_missing_capture_folder_is_a_fault(self) -> None:
         _, faults, _ = self.check("capture_dir /nowhere/at all")
         self.assertEqual(
             faults, ['rosepick.conf line 1: capture_dir "/nowhere/at all" is no folder that can be written']
         )
 
-    def test_odd_files(self) -> None:
+    def test_empty_crlf_bom_and_non_utf8_files(self) -> None:
         for conf, expected in (
             (b"", []),
             (b"capture_segments 3\r\n", []),
@@ -127,11 +127,11 @@
             status, faults, _ = self.check(conf)
             self.assertEqual((status, faults), (len(expected), expected), conf)
 
-    def test_a_file_that_is_missing(self) -> None:
+    def test_missing_file_is_a_fault(self) -> None:
         status, faults, _ = self.check(None)
         self.assertEqual((status, faults), (1, ["rosepick.conf: No such file or directory"]))
 
-    def test_a_config_that_cannot_be_read_and_the_file_is_still_checked(self) -> None:
+    def test_operators_file_is_checked_although_config_is_unreadable(self) -> None:
         for text in ("{", "[]", '"x"', "{}" * 2):
             status, faults, values = self.check("capture_segments 0", text)
             self.assertEqual(status, 1)
@@ -139,7 +139,7 @@
             self.assertTrue(faults[1].startswith("GW_CONFIG"), faults)
             self.assertIn("capture_segment_kb 192 (default)", values)
 
-    def test_no_config_at_all(self) -> None:
+    def test_missing_config_is_a_fault(self) -> None:
         for path in ("", "/nowhere/config.json"):
             completed = subprocess.run(
                 [sys.executable, "-m", "rosepick", "check"],
@@ -154,7 +154,7 @@
                 completed.stdout, r"\AGW_CONFIG: (not set|/nowhere/config.json: No such file.*)\n\n"
             )
 
-    def test_all_faults_of_the_config_at_once(self) -> None:
+    def test_all_faults_of_the_config_are_reported_at_once(self) -> None:
         self.document.update(listen="here", seed="xyz", name=7)
         self.document["settings"] = copy.deepcopy(SETTINGS)
         self.document["settings"]["rules"] = {"fall": -1, "warm_within": -2, "ask_every": "often"}
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Drains without sockets: fleet state, budget, agent, failure detector, invariants; then the drills."""
+"""Drains: fleet state, budget, agent, failure detector and invariants without sockets, then drills."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class FleetRegister:
-    """The register of a fleet state, as a quorum would keep it."""
+    """The register of a fleet state, in place of a quorum."""
 
     def __init__(self, *names: str) -> None:
         self.content = Register()
@@ -64,7 +64,7 @@
         )  # all are healthy
 
     def apply(self, change: RegisterChange | None) -> OperationOutcome:
-        """Read or change it, and return what a client of the quorum gets."""
+        """Read or change the register and return the outcome that a client of the quorum gets."""
         try:
             value = None if change is None else change(self.content)
         except ChangeRejectedError:
@@ -75,16 +75,16 @@
         return OperationOutcome(OutcomeKind.COMMITTED, self.content)
 
     def commits(self, change: RegisterChange) -> bool:
-        """Return whether a change is made."""
+        """Apply a change and return whether it is committed."""
         return self.apply(change).kind is OutcomeKind.COMMITTED
 
     @property
     def state(self) -> FleetState:
-        """The fleet state that it holds."""
+        """The fleet state in the register."""
         return fleet_state.decode_fleet_state(self.content)
 
     def take_out(self, *names: str, to: MemberPhase = MemberPhase.OUT) -> None:
-        """Take members out by permits as far as a phase, whatever the budget says."""
+        """Drain members up to a phase under permits that ignore the budget."""
         for name in names:
             self.apply(fleet_state.request_drain([name], "a", "x", 0.0))
             self.apply(drain_permits.acquire_permit(name, lambda state, name: True, 0.0))
@@ -102,13 +102,13 @@
     return not blocking_reasons(state, budget, name, minute)
 
 
-def test_last_permit_is_granted_once_however_stale_the_copies_are() -> None:
+def test_last_permit_is_granted_once_to_agents_with_stale_copies() -> None:
     register = FleetRegister("a", "b", "c", "d", "e", "f")
     register.apply(fleet_state.request_drain(["a", "b", "c", "d"], "crew", "patch", 0.0))
-    old = register.content  # all of them have read this
+    old = register.content  # the state that all agents have read
 
     def takes_permit(name: str) -> bool:
-        assert may_leave(fleet_state.decode_fleet_state(old), name)  # by the stale copy each of them may
+        assert may_leave(fleet_state.decode_fleet_state(old), name)  # the stale copy allows each of them
         return register.commits(
             drain_permits.acquire_permit(
                 name, lambda state, name: may_take_permit(BUDGET, 0, state, name), 0.0
@@ -214,7 +214,7 @@
     assert [may_take_permit(BUDGET, 0, register.state, name) for name in "dca"] == [False, True, False]
     register.apply(
         fleet_state.apply_health_summary({"c": True}, 1000, 0, 1, "", "w", 0.0)
-    )  # c is lost: its request does not keep a waiting, its loss does
+    )  # c is lost: not its request but its loss blocks a
     assert not may_take_permit(BUDGET, 0, register.state, "a")
 
 
@@ -246,7 +246,7 @@
             MemberPhase.OUT,
             lambda r, p: drain_permits.mark_healthy("a", p, 0.0),
             False,
-        ),  # it was not started yet
+        ),  # the member has not been started
         (MemberPhase.BACK, lambda r, p: drain_permits.mark_healthy("a", p, 0.0), True),
         (
             MemberPhase.BACK,
@@ -258,7 +258,7 @@
         ),
     ],
 )
-def test_permit_steps_need_their_phase_and_permit(
+def test_permit_steps_are_rejected_in_another_phase_or_under_another_permit(
     phase: MemberPhase, step: Callable[[FleetRegister, int], RegisterChange], is_made: bool
 ) -> None:
     register = FleetRegister("a", "b", "c", "d")
@@ -267,7 +267,7 @@
     assert permit and register.commits(step(register, permit)) is is_made
 
 
-def test_halt_stays_and_withdraws_only_permits_that_have_not_begun() -> None:
+def test_halt_is_kept_and_withdraws_only_permits_of_drains_not_begun() -> None:
     register = FleetRegister("a", "b", "c", "d")
     register.take_out("a", to=MemberPhase.GIVEN)
     register.take_out("b", to=MemberPhase.LEAVING)
@@ -338,7 +338,7 @@
 
 
 class MemoryStateStore:
-    """Phase and permit of a member, as on an agent's disk."""
+    """Phase and permit of a member, in place of an agent's disk."""
 
     def __init__(self) -> None:
         self.saved = (0, 0)
@@ -364,7 +364,7 @@
         self.start_agent()
 
     def start_agent(self) -> None:
-        """Start the agent, as after its own end."""
+        """Start the agent from its saved state, as after a restart."""
         self.agent = Agent(
             "a",
             fleet_state.MemberKind.ROUTER,
@@ -376,7 +376,7 @@
         )
 
     def run_steps(self, status: MemberStatus, times: int = 1, lost: bool = False) -> MemberAction:
-        """Let the agent act and ask the quorum some times; return its last action."""
+        """Run the agent and its operations for a number of steps; return its last action."""
         for _ in range(times):
             self.now += 100.0
             if self.detects_failures:
@@ -392,7 +392,7 @@
         return action
 
     def phase_name(self) -> str:
-        """Return the agreed phase of the member."""
+        """Return the phase of the member in the fleet state."""
         return MemberPhase(self.register.state.members["a"].phase).name
 
 
@@ -400,7 +400,7 @@
     harness = AgentHarness("b", "c", "d")
     assert (
         harness.run_steps(UP, 4) is MemberAction.NONE and harness.run_steps(DOWN) is MemberAction.START
-    )  # it has died by itself: it is started
+    )  # the agent starts a member that has exited
     harness.register.apply(fleet_state.request_drain(["a"], "op", "patch", 0.0))
     harness.detects_failures = False
     assert (
@@ -412,16 +412,16 @@
     harness.register.apply(fleet_state.cancel_drain(["a"], "op", 0.0))
     assert harness.run_steps(DOWN, 3) is MemberAction.START
     harness.run_steps(MemberStatus(True, False), 40)
-    assert harness.phase_name() == "BACK"  # it runs and does not serve
+    assert harness.phase_name() == "BACK"  # the member runs but does not serve
     harness.run_steps(UP, 5)
-    assert harness.phase_name() == "BACK"  # it has not served for long enough
+    assert harness.phase_name() == "BACK"  # the member has not served for the minimum time
     harness.run_steps(UP, 25)
     assert harness.phase_name() == "IN" and harness.store.saved == (0, 0)
 
 
 @pytest.mark.parametrize("phase", [MemberPhase.GIVEN, MemberPhase.LEAVING, MemberPhase.OUT, MemberPhase.BACK])
 @pytest.mark.parametrize("is_wiped", [False, True])
-def test_agent_that_restarts_in_any_phase_ends_its_permit(phase: MemberPhase, is_wiped: bool) -> None:
+def test_agent_restarted_in_any_phase_ends_its_permit(phase: MemberPhase, is_wiped: bool) -> None:
     harness = AgentHarness("b", "c", "d")
     harness.register.take_out("a", to=phase)
     harness.store.saved = (0, 0) if is_wiped else (int(phase), harness.register.state.members["a"].permit)
@@ -447,7 +447,7 @@
     harness.register.apply(fleet_state.request_drain(["a"], "op", "patch", 0.0))
     harness.run_steps(UP, 3)
     assert harness.phase_name() == "LEAVING"
-    # the drain has begun, and then this process was paused: it does not go on by a state from before
+    # after a pause of this process the agent does not act on the state from before the pause
     harness.now += 5_000.0
     assert harness.agent.next_action(harness.now, UP) is MemberAction.NONE
     harness = AgentHarness("b", "c", "d")
@@ -525,7 +525,9 @@
     detector.add_report("a", HealthReport(1, 1, True), 0.0)
     detector.add_report("b", HealthReport(1, 1, serving=False), 0.0)
     detector.add_report("c", HealthReport(1, 1, True), 0.0)
-    assert detector.summarize(register.state, 100.0).lost == {"b": True}  # nothing is known of the others yet
+    assert detector.summarize(register.state, 100.0).lost == {
+        "b": True
+    }  # the state of the others is still unknown
     detector.add_report("a", HealthReport(1, 2, True), 900.0)
     detector.add_report("c", HealthReport(1, 1, True), 900.0)  # the same report again
     summary = detector.summarize(register.state, 1_500.0)
@@ -542,7 +544,9 @@
         caches = [(1, HealthReport(1, 1, True, hits=20.0, misses=misses / 10)) for _ in range(10)]
         return [(0, HealthReport(1, 1, True, served=100.0 - refused, refused=refused)), *caches]
 
-    assert estimator.capacity_permille(reports(0.0, 100.0), 2) == 1000  # nothing is known of the origin
+    assert (
+        estimator.capacity_permille(reports(0.0, 100.0), 2) == 1000
+    )  # the capacity of the origin is unknown
     assert (
         estimator.capacity_permille(reports(10.0, 100.0), 2) == 0 and estimator.sustained_misses_per_s == 90.0
     )
@@ -627,14 +631,14 @@
         ),
     ],
 )
-def test_invariants_of_drains(events: list[AnyEvent], invariant: str) -> None:
+def test_drain_invariants_detect_violations(events: list[AnyEvent], invariant: str) -> None:
     violations, _ = drain_invariants.check_invariants(
         [*ALL_UP, *events], drain_invariants.DrainBounds(BUDGET, 5.0, 3.0)
     )
     assert {one.invariant for one in violations} == ({invariant} if invariant else set())
 
 
-def test_invariants_of_requests() -> None:
+def test_request_invariants_detect_lost_and_late_requests() -> None:
     from rosepick.lab.drill.drain_harness import check_requests
 
     events: list[AnyEvent] = [
@@ -651,7 +655,7 @@
     } == {"sends"}
 
 
-def test_invariants_of_cold_starts() -> None:
+def test_cold_start_invariant_detects_overload() -> None:
     from rosepick.lab.drill.drain_harness import check_cold_starts
 
     def requests_of(node: str, interval_s: float) -> list[AnyEvent]:
@@ -670,7 +674,7 @@
     silent = [
         NodeRequestReceived("d", 2.0, "d0", False),
         NodeRequestReceived("e", 3.0, "e0", False),
-    ]  # they were in once and are silent now
+    ]  # they served before and are silent now
     assert not check_cold_starts([*silent, *warm, *requests_of("a", 0.12)])[0]
 
 
@@ -725,7 +729,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_drains_end_though_agents_could_not_write_for_a_while(seed: int) -> None:
+def test_drains_complete_after_agents_temporarily_could_not_write(seed: int) -> None:
     plan = drill_file.load_drill(Path(__file__).parent.parent / "drills" / "agent-disks-simulated.toml")
     report = simulated_drains.run_drill(runner._simulation_config(plan), seed)
     assert report.violations == []
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -1,4 +1,4 @@
-"""Releases without sockets: rollout state, leader, canary analysis, deployer, artifacts; then the drills."""
+"""Releases: rollout state, leader, canary analysis, deployer and artifacts, then drills."""
 
 from __future__ import annotations
 
@@ -60,13 +60,13 @@
 
 
 class RolloutRegister:
-    """The register of a rollout state, as a quorum would keep it."""
+    """The register of a rollout state, in place of a quorum."""
 
     def __init__(self) -> None:
         self.content = Register()
 
     def apply(self, change: RegisterChange) -> bool:
-        """Make a change, and return whether it was accepted."""
+        """Apply a change and return whether it was accepted."""
         try:
             self.content = Register(self.content.version + 1, "m", change(self.content))
         except ChangeRejectedError:
@@ -75,7 +75,7 @@
 
     @property
     def state(self) -> RolloutState:
-        """The rollout state that it holds."""
+        """The rollout state in the register."""
         return rollout_state.decode_rollout_state(self.content)
 
     @property
@@ -93,14 +93,14 @@
     def lead(
         self, action: str, token: int = 1, seen: rollout_state.Rollout | None = None, **more: Any
     ) -> bool:
-        """Make a leader's step, and return whether it was accepted."""
+        """Apply a leader's step and return whether it was accepted."""
         context = leader_steps.LeaderContext(seen or self.rollout, token, "l", 0.0)
         update = leader_steps.LeaderUpdate(leader_steps.LeaderAction(action), "why", **more)
         return self.apply(leader_steps.apply_leader_update(context, update))
 
 
 def fleet_of_routers(zones: int = 2, **more: FleetMember) -> FleetState:
-    """Return a fleet of eight routers that are in, with some replaced."""
+    """Return a fleet of eight healthy routers, with members replaced by `more`."""
     members = {
         name: FleetMember(int(MemberKind.ROUTER), f"z{n % zones}", was_healthy=True)
         for n, name in enumerate(NAMES)
@@ -111,7 +111,7 @@
 # ---------------------------------------------------------------------------- the rollout state
 
 
-def test_rollout_goes_through_its_waves_and_becomes_the_baseline() -> None:
+def test_artifact_of_a_completed_rollout_becomes_the_baseline() -> None:
     register = RolloutRegister()
     assert register.start() and not register.start()  # one rollout at a time
     assert register.rollout.artifact_for("a") == OLD  # the leader measures the baseline first
@@ -126,8 +126,8 @@
         and register.rollout.artifact_for("d") == NEW
     )
     assert register.lead("close") and register.state.open_rollout is None
-    assert register.state.artifact_for("d", BUILD) == NEW  # also once it is closed
-    assert not register.start()  # it is the baseline already
+    assert register.state.artifact_for("d", BUILD) == NEW  # also after the rollout is closed
+    assert not register.start()  # the artifact is already the baseline
     assert register.apply(rollout_state.start_rollout(BUILD, OLD, NEW, [["a"]], "me", "x", 0.0))
 
 
@@ -154,7 +154,7 @@
     seen = register.rollout
     assert register.lead("next", token=5)
     assert not register.lead("next", token=4)  # an older token
-    assert not register.lead("next", token=6, seen=seen)  # the rollout was moved since
+    assert not register.lead("next", token=6, seen=seen)  # the rollout has advanced since
     assert register.apply(rollout_state.pause_rollout("me", "x", 0.0)) and not register.lead("next", token=6)
     assert (
         register.apply(rollout_state.resume_rollout("me", "x", 0.0))
@@ -205,7 +205,7 @@
 
 
 def random_metrics(rng: random.Random, **harm: float) -> HealthMetrics:
-    """Return metrics of a router in one interval, with some harm."""
+    """Return random metrics of a router in one interval, with the given harm."""
     requests = max(5.0, rng.gauss(50.0, 10.0))
     lost = requests * (0.004 * rng.random() + harm.get("lost", 0.0))
     cpu = requests * 0.002 * rng.uniform(0.85, 1.15) * harm.get("slow", 1.0)
@@ -235,7 +235,7 @@
         analysis.begin_comparison(["r0"], NAMES[1:])
         for _ in range(80):
             harm_by_name = {name: harm if name == "r0" else {} for name in NAMES}
-            common = {"lost": 0.3} if is_common else {}  # felt by new and old alike
+            common = {"lost": 0.3} if is_common else {}  # affects both artifacts
             analysis.add_interval(
                 {name: random_metrics(rng, **{**common, **harm_by_name[name]}) for name in NAMES}
             )
@@ -247,11 +247,11 @@
             assert analysis.verdict().status is status and metric in analysis.verdict().reason
         resumed = CanaryAnalysis({name: f"z{n % 2}" for n, name in enumerate(NAMES)}, harm_factor=2.0)
         resumed.resume(["r0"], NAMES[1:], analysis.export_state())
-        assert resumed.export_state() == analysis.export_state()  # the next leader goes on from here
+        assert resumed.export_state() == analysis.export_state()  # the next leader resumes from this state
 
 
 class LeaderHarness:
-    """A leader and eight routers that run at once what they are to run, in steps of a second."""
+    """A leader and eight routers that change their artifacts immediately, in steps of a second."""
 
     def __init__(self, policy: RolloutPolicy, **harm: float) -> None:
         self.register = RolloutRegister()
@@ -264,7 +264,7 @@
         self.actions: list[str] = []
 
     def run_steps(self, count: int, token: int = 1) -> None:
-        """Run some steps."""
+        """Run a number of steps of one second."""
         for index in range(count):
             self.now += 1_000.0
             for name in NAMES:
@@ -312,7 +312,7 @@
         assert harness.actions == actions and harness.register.state.artifact_for("r0", BUILD) == baseline
 
 
-def test_next_leader_goes_on_with_the_recorded_evidence() -> None:
+def test_next_leader_resumes_from_the_recorded_evidence() -> None:
     harness = LeaderHarness(POLICY, lost=0.05)
     harness.register.start(["r0"], NAMES[1:])
     harness.run_steps(8)
@@ -322,7 +322,7 @@
     assert "worse" in harness.actions and harness.register.state.token == 2
 
 
-def test_members_that_cannot_follow_are_left_behind_and_failures_are_worse() -> None:
+def test_unreachable_members_are_left_behind_and_failed_artifacts_rolled_back() -> None:
     lost = FleetMember(int(MemberKind.ROUTER), "z0", lost=True, was_healthy=True)
     harness = LeaderHarness(replace(POLICY, asks_operator=False))
     harness.fleet_state = fleet_of_routers(r2=lost)
@@ -330,7 +330,7 @@
     harness.register.start(["r0"], ["r2", "r4", "r6"])
     harness.run_steps(60)
     assert harness.actions.count("left") == 2 and harness.actions[-1] == "close"
-    assert harness.register.state.artifact_for("r2", BUILD) == NEW  # it follows once it is back
+    assert harness.register.state.artifact_for("r2", BUILD) == NEW  # the member changes after it returns
     harness = LeaderHarness(POLICY)
     harness.deploy_errors = {"r0": f"{BUILD} {NEW.digest} version it ends"}
     harness.register.start(["r0"], ["r2"])
@@ -370,7 +370,7 @@
         return self.status
 
     def apply_settings(self, kind: str, digest: str) -> None:
-        """Note the settings."""
+        """Record the digest."""
         self.applied.append(digest)
 
     def remove_except(self, needed: Iterable[str]) -> None:
@@ -398,7 +398,7 @@
     deployer.advance(0.0, MemberPhase.IN, False, True)
     assert deployer.active_digests[BUILD] == "0"  # not without a permit
     deployer.advance(2_500.0, MemberPhase.OUT, False, False)
-    assert deployer.active_digests[BUILD] == "0"  # nor by a stale state
+    assert deployer.active_digests[BUILD] == "0"  # nor under a stale rollout state
     deployer.update_state(register.state, 2_500.0)
     deployer.advance(2_500.0, MemberPhase.OUT, False, False)
     assert (
@@ -406,7 +406,7 @@
         and deployer.probation_kind == BUILD
         and deployer.is_under_analysis()
     )
-    restarted = make_deployer(host, register, 2_500.0)  # its agent restarts
+    restarted = make_deployer(host, register, 2_500.0)  # restart of the agent
     assert restarted.active_digests[BUILD] == "1" and restarted.probation_kind == BUILD
     for now in (2_600.0, 2_700.0):
         restarted.advance(now, MemberPhase.BACK, True, False)
@@ -414,7 +414,7 @@
     assert restarted.describe_failure() == "build 1 version it ended by itself 2 times"
     assert make_deployer(host, register).describe_failure() and not make_deployer(
         host, register
-    ).has_pending_work(0.0)  # and it is not tried again
+    ).has_pending_work(0.0)  # a failed artifact is not retried
     register.lead("worse")
     assert not make_deployer(host, register).describe_failure()
 
@@ -552,7 +552,7 @@
     assert wait().is_ready
     assert seen.read_text() == repr(
         sorted(os.environ.items())
-    )  # nothing of this program is put before the version's
+    )  # this program adds nothing to the environment of the check
     store.remove_except([])
     assert not store.path_of(artifact.digest).exists() and wait().is_ready
     store.remove_except([])
@@ -608,7 +608,7 @@
         } == invariants
 
 
-def test_simulated_releases_under_faults() -> None:
+def test_simulated_releases_under_faults_violate_no_invariant() -> None:
     config = runner._simulation_config(drill_file.load_drill(ROOT / "drills" / "releases-simulated.toml"))
     logging.disable(logging.CRITICAL)
     try:
@@ -621,7 +621,7 @@
     assert results[1].counts == results[2].counts  # a seed gives one history
 
 
-def test_model_of_releases() -> None:
+def test_benchmark_model_finds_a_regression_and_completes_an_equal_version() -> None:
     regression = release_benchmark.REGRESSIONS[0]
     run = release_benchmark.run_release(1, regression, False, "judged", routers=40)
     assert run.found_worse and run.members_reached <= 2 and not run.completed
