--- a/rosepick/lab/drill/drain_invariants.py
+++ b/rosepick/lab/drill/drain_invariants.py
@@ -1,6 +1,6 @@
-"""Invariants of drains (docs/drains.md), checked on the observed availability of members.
+"""Checks the invariants of drains (docs/drains.md) on the observed availability of members.
 
-What the fleet state says does not count, only what was seen from outside.
+The checks use only availability as observed from outside, never the stored fleet state.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class DrainInvariant(StrEnum):
-    """Names of the properties of drains, as reports and mutations.toml have them."""
+    """Properties of drains; reports and tests/mutations.toml contain the values."""
 
     BUDGET = "budget"
     FLOOR = "floor"
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainBounds:
-    """The disruption budget, and delays that the invariants allow for, in seconds.
+    """The disruption budget, and the delays that the invariants allow for, in seconds.
 
-    A member's failure is known to all within `failure_known_s`. No member goes out later than
+    All agents know of a member's failure within `failure_known_s`. No member goes out of service later than
     `halt_effective_s` after a halt was accepted.
     """
 
@@ -37,10 +37,10 @@
 
 
 class OutageTracker:
-    """Tracks which members are out and checks each new outage against the limits.
+    """Tracks which members are out of service and checks each new outage against the limits.
 
-    `limit_reached_count` tells how often a limit was exactly reached; `rolling_back` that a rollout is rolled
-    back, for which the budget is wider and a halt of drains does not hold.
+    `limit_reached_count` counts how often a limit was exactly reached. `rolling_back` means that a rollout is
+    being rolled back: the budget is larger, and a halt of drains does not apply.
     """
 
     def __init__(self, bounds: DrainBounds, first_states: Sequence[AvailabilityChanged]) -> None:
@@ -60,12 +60,12 @@
         return budget.routers
 
     def is_out_by_program(self, name: str) -> bool:
-        """Return whether a member is out, and not because of a fault."""
+        """Return whether a member is out of service for a cause other than a fault."""
         outage = self.outages.get(name)
         return outage is not None and outage.by == "program"
 
     def apply_event(self, event: AvailabilityChanged) -> list[Violation]:
-        """Apply a change of a member's availability and return what it violates."""
+        """Apply a change of a member's availability and return the violations it causes."""
         previous = self.outages.get(event.process)
         if event.up:
             self.outages.pop(event.process, None)
@@ -85,51 +85,52 @@
     def _is_failure_known(self, outage: AvailabilityChanged, now: float) -> bool:
         return now - outage.at > self._bounds.failure_known_s
 
-    def _is_counted(self, outage: AvailabilityChanged, now: float) -> bool:
-        """Return whether an outage counts against the budget.
+    def _counts_against_budget(self, outage: AvailabilityChanged, now: float) -> bool:
+        """Return whether an outage counts against the budget at time `now`.
 
-        One that the budget does not bind counts only later, as others that had begun before go on.
+        Faults, and outages that are exempt from the budget, count only once all agents know of them: drains
+        that were permitted before then continue.
         """
         return (outage.by == "program" and not outage.free) or self._is_failure_known(outage, now)
 
     def _counted_outages(self, event: AvailabilityChanged, zone: str) -> list[AvailabilityChanged]:
-        """Return the outages of members of the same kind that count, in a zone or (empty) in all."""
+        """Return the counted outages of the event's member kind in `zone`, or in all zones if it is empty."""
         return [
             outage
             for outage in self.outages.values()
             if outage.kind == event.kind
             and (not zone or outage.zone == zone)
             and outage.process not in self.evicted
-            and self._is_counted(outage, event.at)
+            and self._counts_against_budget(outage, event.at)
         ]
 
     def _check_budget(self, event: AvailabilityChanged) -> list[Violation]:
         violations = []
         limit = self._limit(event.kind)
-        for zone, most in (("", limit.most), (event.zone, limit.zone_most)):
+        for zone, max_out in (("", limit.most), (event.zone, limit.zone_most)):
             outages = self._counted_outages(event, zone)
-            if len(outages) > most:
+            if len(outages) > max_out:
                 names = ", ".join(outage.process for outage in outages)
-                text = f"{len(outages)} {event.kind} are out {zone or 'in all'}, {most} may be: {names}"
+                text = f"{len(outages)} {event.kind} out in {zone or 'all zones'}, limit {max_out}: {names}"
                 violations.append(Violation(DrainInvariant.BUDGET.value, text, tuple(outages)))
-            self.limit_reached_count += len(outages) == most
+            self.limit_reached_count += len(outages) == max_out
         return violations
 
     def _check_floor(self, event: AvailabilityChanged) -> list[Violation]:
-        """Check that enough members of a zone serve; evicted ones that serve count too."""
+        """Check that enough members of a zone serve; evicted members that still serve are counted."""
         in_zone = [
             member.process
             for member in self.members.values()
             if (member.kind, member.zone) == (event.kind, event.zone)
         ]
         outages = [self.outages[name] for name in in_zone if name in self.outages]
-        out = [
+        counted_outages = [
             outage for outage in outages if outage.by == "program" or self._is_failure_known(outage, event.at)
         ]
-        left = len(in_zone) - len(out)
-        if left >= self._limit(event.kind).stay:
+        serving_count = len(in_zone) - len(counted_outages)
+        if serving_count >= self._limit(event.kind).stay:
             return []
-        text = f"{left} {event.kind} are left in {event.zone}"
+        text = f"only {serving_count} {event.kind} serve in {event.zone}"
         return [Violation(DrainInvariant.FLOOR.value, text, (event,))]
 
 
@@ -174,14 +175,14 @@
     def _check_halt(self, event: AvailabilityChanged) -> None:
         halt = self._halt
         if halt is not None and event.at - halt.at > self._halt_effective_s:
-            text = f"{event.process} went out {event.at - halt.at:.2f} s after a halt"
+            text = f"{event.process} went out of service {event.at - halt.at:.2f} s after a halt"
             self.violations.append(Violation(DrainInvariant.HALT.value, text, (halt, event)))
 
 
 def check_invariants(events: Sequence[AnyEvent], bounds: DrainBounds) -> tuple[list[Violation], Counter[str]]:
-    """Check budget, floor and halt over a history, which has the first state of each member.
+    """Check budget, floor and halt over a history that contains the initial state of each member.
 
-    Returns the violations and counts of what was checked.
+    Returns the violations and the counts of checked events.
     """
     first_states: dict[str, AvailabilityChanged] = {}
     for event in events:
--- a/rosepick/lab/drill/drill_file.py
+++ b/rosepick/lab/drill/drill_file.py
@@ -1,4 +1,4 @@
-"""Files of fault-injection tests (`drills/*.toml`): which processes, how leases are held, which faults."""
+"""Reads drill files (`drills/*.toml`), which define fault-injection tests: processes, leases and faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DrillError(Exception):
-    """The file cannot be used; `errors` has a line for each reason, with the file and the key."""
+    """A drill file cannot be used; `errors` has a line for each error, with the file and the key."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("\n".join(errors))
@@ -21,7 +21,7 @@
 
 
 class ProcessSettings(StrictModel):
-    """How many processes of each kind there are.
+    """The number of processes of each kind, and their clock skew.
 
     `runners` are processes of `rosepick lease run` with a command. Clocks run faster or slower by up to
     `rate`, a fraction.
@@ -35,30 +35,34 @@
 
 
 class DrillLeaseSettings(StrictModel):
-    """How leases are held: their time to live in seconds, and the clock drift allowed for, a fraction."""
+    """The time to live of leases in seconds, and the clock drift that they allow for, a fraction."""
 
     ttl: Annotated[float, Field(ge=0.5, le=60.0)] = 2.0
     drift: Annotated[float, Field(ge=0.001, le=0.2)] = 0.025
 
 
 class FaultSettings(StrictModel):
-    """For how long faults are injected, how often, and of which kinds: all, if none is named. Seconds."""
+    """When faults are injected, and of which kinds.
+
+    Faults occur for `seconds`, one per `each` seconds on average. The test continues for `quiet` seconds
+    after the last one. An empty `kinds` allows all kinds.
+    """
 
     seconds: Annotated[float, Field(ge=0.0, le=3600.0)] = 20.0
     each: Annotated[float, Field(gt=0.0)] = 0.8
     kinds: list[str] = Field(default_factory=list)
-    quiet: Annotated[float, Field(ge=0.0, le=120.0)] = 4.0  # after the last fault
+    quiet: Annotated[float, Field(ge=0.0, le=120.0)] = 4.0
 
     @model_validator(mode="after")
     def _check_kinds(self) -> FaultSettings:
         unknown = sorted(set(self.kinds) - set(FaultName))
         if unknown:
-            raise ValueError(f"no such faults: {', '.join(unknown)}")
+            raise ValueError(f"unknown fault kinds: {', '.join(unknown)}")
         return self
 
 
 class Drill(StrictModel):
-    """A fault-injection test. `least` has counts that must be reached for it to show anything."""
+    """A fault-injection test; `least` has the minimum counts that make its result meaningful."""
 
     title: str = "drill"
     plays: Literal["leases", "drains", "releases"] = "leases"
@@ -69,10 +73,10 @@
 
 
 def load_drill(path: Path) -> Drill:
-    """Read a file.
+    """Read a drill file.
 
     Raises:
-        DrillError: the file cannot be read or is not valid; it names every fault.
+        DrillError: the file cannot be read or is not valid; it lists every error.
     """
     try:
         return Drill.model_validate(tomllib.loads(path.read_text("utf-8")))
--- a/rosepick/lab/drill/fault_plan.py
+++ b/rosepick/lab/drill/fault_plan.py
@@ -1,4 +1,4 @@
-"""Plans of faults, drawn from a seed: the same for simulated and for real processes."""
+"""Fault plans, drawn at random from a seed, for simulated and real processes alike."""
 
 from __future__ import annotations
 
@@ -9,44 +9,44 @@
 
 
 class FaultName(StrEnum):
-    """Kinds of faults, by the names that files of fault-injection tests and reports have for them."""
+    """Kinds of faults; drill files and reports contain the values."""
 
     KILL = "kill"
     PAUSE = "pause"
-    EMPTY_STORAGE = "empty"  # a replica starts with an empty folder
+    EMPTY_STORAGE = "empty"  # a replica restarts with an empty folder
     TWO_EMPTY_STORAGES = "two empty"
-    OLDER_STORAGE = "older"  # an older copy of a replica's storage is put back
-    COPIED_STORAGE = "copied"  # a copy takes the place of the storage's file
+    OLDER_STORAGE = "older"  # an older copy of a replica's storage is restored
+    COPIED_STORAGE = "copied"  # a copy replaces the storage's file
     FULL_DISK = "full"
     RESTART_ALL = "restart all"
     CUT = "cut"
     CUT_ONE_WAY = "cut one way"
-    ISOLATE = "part"  # one process from all replicas
-    SPLIT = "split"  # a minority of the replicas and half of the clients from the rest
-    MINORITY = "minority"  # the same for minutes
-    DEAF = "deaf"  # a process sends, and receives nothing
+    ISOLATE = "part"  # one process is cut off from all replicas
+    SPLIT = "split"  # a minority of the replicas and half of the clients are cut off from the rest
+    MINORITY = "minority"  # a split that lasts for minutes
+    DEAF = "deaf"  # a process can send but receives nothing
     REFUSE = "refuse"  # connections are refused
-    HALF_OPEN = "half open"  # connections stay open, and nothing passes
+    HALF_OPEN = "half open"  # connections stay open but carry no data
     SLOW = "slow"
-    TRICKLE = "trickle"  # few bytes per second
+    TRICKLE = "trickle"  # a link carries few bytes per second
     DUPLICATE = "double"
     REORDER = "disorder"
     LOSE = "lose"
-    FORCE_RELEASE = "force"  # an operator ends a lease
-    MEMBER_CRASH = "member"  # the process that an agent supervises dies
-    HOST_LOSS = "host"  # an agent and its member die for long
-    WIPED_AGENT = "wiped"  # an agent dies, and its folder is lost
-    AGENT_DISK = "agent disk"  # an agent's folder takes no writes for a while
-    SWAP_REPLICA = "swap"  # a running replica is replaced by the spare one
+    FORCE_RELEASE = "force"  # an operator forces the release of a lease
+    MEMBER_CRASH = "member"  # the process that an agent supervises crashes
+    HOST_LOSS = "host"  # an agent and its member are killed and stay down for several lease TTLs
+    WIPED_AGENT = "wiped"  # an agent is killed and loses its folder
+    AGENT_DISK = "agent disk"  # writes to an agent's folder fail for a while
+    SWAP_REPLICA = "swap"  # the spare replica replaces a running one
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
     """One fault of a plan.
 
-    It begins at `at` and lasts for `length`, in seconds. `target` has the names of the processes that it
-    hits, or the two ends of a link. What `amount` means depends on `kind`: a probability, seconds or bytes
-    per second.
+    The fault starts at `at` and lasts for `length`, both in seconds. `target` lists the names of the affected
+    processes, or the two ends of a link. The unit of `amount` depends on `kind`: a probability, seconds or
+    bytes per second.
     """
 
     at: float
@@ -61,7 +61,7 @@
 
 
 class TargetKind(Enum):
-    """What a fault hits."""
+    """The kind of target that a fault affects."""
 
     REPLICA = auto()
     TWO_REPLICAS = auto()
@@ -74,10 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTemplate:
-    """How faults of a kind are drawn: their weight among all, what they hit, and how long they last.
+    """How faults of a kind are drawn: their relative weight, their target and the range of their lengths.
 
-    Lengths are in multiples of the lease's time to live. A template that is `only_if_named` is used only
-    where a file names its kind.
+    Lengths are in multiples of the lease's time to live. A template with `only_if_named` is used only if a
+    drill file lists its kind.
     """
 
     name: FaultName
@@ -133,14 +133,14 @@
         FaultName.FULL_DISK,
     }
 )
-QUORUM_CHANGING_FAULTS = STORAGE_FAULTS | {FaultName.SWAP_REPLICA}  # one at a time
-MIN_REPLICAS_TO_LOSE_TWO = 5  # two of fewer are no minority
-RECOVERY_TTLS = 3.0  # between two faults that change the quorum, in multiples of the lease's time to live
+QUORUM_CHANGING_FAULTS = STORAGE_FAULTS | {FaultName.SWAP_REPLICA}  # never two at the same time
+MIN_REPLICAS_TO_LOSE_TWO = 5  # with fewer replicas, two are not a minority
+RECOVERY_TTLS = 3.0  # pause after a fault that changes the quorum, in multiples of the lease's time to live
 
 
 @dataclass(frozen=True, slots=True)
 class FaultTargets:
-    """The names from which the targets of faults are drawn."""
+    """The names of processes and tasks from which the targets of faults are drawn."""
 
     replicas: Sequence[str]
     clients: Sequence[str]
@@ -163,13 +163,13 @@
                 minority = rng.sample(list(self.replicas), (len(self.replicas) - 1) // 2)
                 return (*minority, *rng.sample(list(self.clients), len(self.clients) // 2))
             case TargetKind.LINK:
-                end = rng.choice([*self.replicas, *self.clients])
-                return end, rng.choice([name for name in self.replicas if name != end])
+                first_end = rng.choice([*self.replicas, *self.clients])
+                return first_end, rng.choice([name for name in self.replicas if name != first_end])
 
 
 @dataclass(frozen=True, slots=True)
 class FaultSchedule:
-    """When faults come: for `duration_s`, one each `interval_s` on average; `ttl_s` scales their lengths."""
+    """When faults occur: one per `interval_s` on average for `duration_s`; `ttl_s` scales their lengths."""
 
     duration_s: float
     interval_s: float
@@ -178,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultPlan:
-    """The faults of a test, by time, and the time at which the last of them is over; seconds."""
+    """The faults of a test ordered by time, and the time in seconds at which the last one ends."""
 
     faults: list[Fault] = field(default_factory=list)
     ends_at: float = 0.0
@@ -187,10 +187,9 @@
     def draw(
         rng: random.Random, targets: FaultTargets, schedule: FaultSchedule, allowed: Sequence[str] = ()
     ) -> FaultPlan:
-        """Draw a plan with faults of the `allowed` names, or of all that need not be named.
+        """Draw a plan with faults of the `allowed` kinds, or of all but `only_if_named` kinds if it is empty.
 
-        Faults that change the quorum come one after the other, so that a majority of the storages lives at
-        any time.
+        Faults that change the quorum never overlap, so that a majority of the storages is intact at any time.
         """
         templates = _usable_templates(allowed, len(targets.replicas))
         faults: list[Fault] = []
--- a/rosepick/lab/drill/history.py
+++ b/rosepick/lab/drill/history.py
@@ -1,7 +1,7 @@
-"""The history of a fault-injection test: typed events with their times, and their form in files.
+"""The history of a fault-injection test: typed events, and their encoding in files of JSON lines.
 
-Times are seconds of the test's own clock, whichever process an event is about. Class names are free; tags and
-field names are the stored form.
+Times are seconds of the test's clock, the same for all processes. Files contain the tags and field names of
+the classes, but not the class names.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Event(msgspec.Struct, frozen=True, tag_field="event"):
-    """An event of the history: the process that it is about, and its time."""
+    """An event of the history, with the process that it concerns and its time."""
 
     process: str
     at: float
@@ -22,8 +22,8 @@
 class RegisterOperation(Event, frozen=True, tag="operation"):
     """A read or change of a register, from `begin` to `at`.
 
-    `mark` is the operation's own change id. `seen`, `version` and `base` are the change id, the version and
-    the parent change id of the value that it ended with.
+    `mark` is the change id of the operation itself. `seen`, `version` and `base` are the change id, the
+    version and the parent change id of the value that the operation returned.
     """
 
     begin: float
@@ -36,7 +36,7 @@
 
 
 class LeaseCheckPassed(Event, frozen=True, tag="yes"):
-    """A lease holder checked that it may act: the check began at `begin` and passed by `at`."""
+    """A lease holder checked that it may act; the check started at `begin` and had passed by `at`."""
 
     begin: float
     task: str
@@ -65,8 +65,8 @@
 class AvailabilityChanged(Event, frozen=True, tag="stood"):
     """A member went out of service or came back, as observed from outside.
 
-    `by` is the cause: "program", or "fault" for an injected one. `free` means that the disruption budget does
-    not apply, since an operator ordered the member out at once.
+    `by` is the cause: "program", or "fault" for an injected fault. `free` means that the disruption budget
+    does not apply, since an operator requested an immediate drain of the member.
     """
 
     kind: str  # "routers" or "caches"
@@ -77,14 +77,17 @@
 
 
 class OperatorOrderAccepted(Event, frozen=True, tag="ordered"):
-    """An operator's order was accepted: halt, resume, out, in, off or on."""
+    """An operator's order was accepted.
+
+    `what` is halt, resume, out, in, now (an immediate drain), off (an eviction) or on (a reinstatement).
+    """
 
     what: str
     names: tuple[str, ...] = ()
 
 
 class NodeRequestReceived(Event, frozen=True, tag="came"):
-    """A cache node received a request; `draining` tells whether it had announced a drain before."""
+    """A cache node received a request; `draining` is true if it had announced a drain before."""
 
     request: str
     draining: bool
@@ -93,8 +96,8 @@
 class ClientRequestCompleted(Event, frozen=True, tag="answered"):
     """A client's request ended; `begin` is the time at which its last byte was written.
 
-    `status` is 0 if the connection closed without a response, or none came within half a second after the
-    deadline.
+    `status` is 0 if the connection closed without a response, or if no response arrived within half a second
+    after the deadline.
     """
 
     begin: float
@@ -107,7 +110,7 @@
 
 
 class VersionStarted(Event, frozen=True, tag="ran"):
-    """A member began to run a version, as observed from outside."""
+    """A member started to run a version, as observed from outside."""
 
     version: str
 
@@ -115,8 +118,8 @@
 class ReleaseDecided(Event, frozen=True, tag="decided"):
     """The rollout record changed: members in `may` are allowed to run `version`.
 
-    The read that showed it ran from `begin` to `at`. `back` means that the rollout is being rolled back;
-    `over` that none is open and all members should run `version`.
+    The read that returned the change lasted from `begin` to `at`. `back` means that the rollout is being
+    rolled back. `over` means that no rollout is open and all members should run `version`.
     """
 
     begin: float
@@ -158,9 +161,9 @@
 
 
 def read_events(paths: Iterable[Path]) -> list[AnyEvent]:
-    """Read the events of some files, in order of time.
+    """Read the events of all files and return them ordered by time.
 
-    A last line without its newline, cut off when a process was killed, is skipped.
+    A last line without a newline is skipped: its process was killed while writing it.
     """
     events: list[AnyEvent] = []
     for path in paths:
@@ -170,7 +173,7 @@
 
 
 def kind_of(event: AnyEvent) -> str:
-    """Return the kind under which an event is printed and counted: its tag, but "injected" for a fault."""
+    """Return the kind under which an event is printed and counted: its tag, or "injected" for a fault."""
     tag = str(event.__struct_config__.tag)
     return "injected" if tag == "fault" else tag
 
--- a/rosepick/lab/drill/invariants.py
+++ b/rosepick/lab/drill/invariants.py
@@ -1,4 +1,4 @@
-"""Safety and liveness properties of leases (docs/leases.md), checked on a recorded history."""
+"""Checks safety and liveness properties of leases (docs/leases.md) on a recorded history."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LeaseInvariant(StrEnum):
-    """Names of the properties of leases, as reports and mutations.toml have them."""
+    """Properties of leases; reports and tests/mutations.toml contain the values."""
 
     FENCING_TOKENS = "tokens"
     MUTUAL_EXCLUSION = "overlap"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """An invariant that does not hold, with a short part of the history that shows it."""
+    """A violated invariant, its description, and the events of the history that show it."""
 
     invariant: str
     text: str
@@ -35,17 +35,17 @@
 
 @dataclass(slots=True)
 class InvariantReport:
-    """The violations found, and counts of the events that were checked."""
+    """The violations found in a history, and the number of events by kind."""
 
     violations: list[Violation] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
 
 
-LeaseEvidence = LeaseStateChanged | LeaseCheckPassed  # shows who holds a token
+LeaseEvidence = LeaseStateChanged | LeaseCheckPassed  # identifies the holder of a token
 
 
 class _FencingChecker:
-    """Checks tokens event by event: one holder for each token, and effects in order of their tokens."""
+    """Checks event by event that each token has one holder and that tokens of effects never decrease."""
 
     def __init__(self) -> None:
         self.violations: list[Violation] = []
@@ -68,12 +68,14 @@
     def _add_effect(self, effect: GuardedEffect) -> None:
         previous = self._last_effect_by_task.get(effect.task)
         if previous is not None and effect.token < previous.token:
-            text = f"{effect.task}: token {effect.token} taken after {previous.token}"
+            text = f"{effect.task}: token {effect.token} accepted after {previous.token}"
             self._report(text, previous, effect)
         self._last_effect_by_task[effect.task] = effect
         holder = self._holder_by_token.get((effect.task, effect.token))
         if holder is not None and holder.who != effect.who:
-            text = f"{effect.task}: an effect under token {effect.token} by another than its holder"
+            text = (
+                f"{effect.task}: an effect under token {effect.token} from a process that is not its holder"
+            )
             self._report(text, holder, effect)
 
     def _report(self, text: str, *events: AnyEvent) -> None:
@@ -81,7 +83,7 @@
 
 
 def check_fencing_tokens(events: Iterable[AnyEvent]) -> list[Violation]:
-    """Check that a token has one holder, and that a guarded resource never goes back to a lower token.
+    """Check that each token has one holder and that a guarded resource never accepts a lower token.
 
     Accepted effects must also come from the holder of their token.
     """
@@ -94,7 +96,7 @@
 class _HoldingPeriod(NamedTuple):
     """The time in which a holder was certainly allowed to act under a token.
 
-    It lasts from the end of its first passed check to the begin of its last one.
+    The period lasts from the end of the first passed check to the start of the last one.
     """
 
     first: LeaseCheckPassed
@@ -119,7 +121,7 @@
 def check_mutual_exclusion(events: Iterable[AnyEvent]) -> list[Violation]:
     """Check that no two holders of a task are allowed to act at the same time.
 
-    A violation is a passed check within another holder's period, or two periods that overlap.
+    A violation is a passed check within another holder's holding period, or two overlapping periods.
     """
     checks = [event for event in events if isinstance(event, LeaseCheckPassed)]
     by_task = _holding_periods(checks)
@@ -143,45 +145,49 @@
 def _overlap_violation(first: LeaseCheckPassed, last: LeaseCheckPassed, other: LeaseCheckPassed) -> Violation:
     text = (
         f"{other.task}: {first.process} under token {first.token} and {other.process} under "
-        f"{other.token} both may act, for {last.begin - other.at:.4f} s at least"
+        f"{other.token} may both act for at least {last.begin - other.at:.4f} s"
     )
     return Violation(LeaseInvariant.MUTUAL_EXCLUSION.value, text, (first, last, other))
 
 
 def check_linearizability(events: Iterable[AnyEvent]) -> list[Violation]:
-    """Check that the operations on each register are linearizable, and that no failed change took effect."""
-    recorded = [event for event in events if isinstance(event, RegisterOperation)]
-    ended = {operation.mark for operation in recorded if operation.kind != "open"}
+    """Check that the operations on each register are linearizable and that no failed change took effect."""
+    recorded_operations = [event for event in events if isinstance(event, RegisterOperation)]
+    completed_marks = {operation.mark for operation in recorded_operations if operation.kind != "open"}
     operations = [
-        operation for operation in recorded if operation.kind != "open" or operation.mark not in ended
+        operation
+        for operation in recorded_operations
+        if operation.kind != "open" or operation.mark not in completed_marks
     ]
     violations = []
-    for key, of_register in linearizability.group_by_key(operations).items():
-        failed = {operation.mark: operation for operation in of_register if operation.kind == "failed"}
-        observer = next((operation for operation in of_register if operation.seen in failed), None)
+    for key, register_operations in linearizability.group_by_key(operations).items():
+        failed = {
+            operation.mark: operation for operation in register_operations if operation.kind == "failed"
+        }
+        observer = next((operation for operation in register_operations if operation.seen in failed), None)
         if observer is not None:
-            text = f"{key}: a change that was said to have failed stands"
+            text = f"{key}: a change reported as failed took effect"
             violations.append(
                 Violation(LeaseInvariant.LINEARIZABILITY.value, text, (failed[observer.seen], observer))
             )
-        if not linearizability.is_linearizable(of_register):
-            cut = tuple(linearizability.minimal_counterexample(of_register))
-            text = f"{key}: no order of {len(cut)} operations is possible"
-            violations.append(Violation(LeaseInvariant.LINEARIZABILITY.value, text, cut))
+        if not linearizability.is_linearizable(register_operations):
+            counterexample = tuple(linearizability.minimal_counterexample(register_operations))
+            text = f"{key}: {len(counterexample)} operations are not linearizable"
+            violations.append(Violation(LeaseInvariant.LINEARIZABILITY.value, text, counterexample))
     return violations
 
 
 def check_takeover(
     events: Sequence[AnyEvent], task: str, since: float, deadline_s: float, excluded_owner: int | None = None
 ) -> list[Violation]:
-    """Check that some client other than `excluded_owner` may act on a task soon after a time.
+    """Check that a client other than `excluded_owner` may act on a task within `deadline_s` of `since`.
 
     Args:
-        events: the history, in order of time.
-        task: the task whose lease has to be acquired.
-        since: the time from which on it has to be acquired, in seconds of the history.
-        deadline_s: how long that may take.
-        excluded_owner: an owner id that does not count.
+        events: the history, ordered by time.
+        task: the task whose lease must be acquired.
+        since: the start of the deadline, in seconds of the history.
+        deadline_s: the maximum time until the first passed check, in seconds.
+        excluded_owner: an owner id whose checks are ignored.
     """
     first = next(
         (
@@ -196,13 +202,13 @@
     )
     if first is not None and first.begin - since <= deadline_s:
         return []
-    successor = "nobody" if first is None else f"{first.process} after {first.begin - since:.2f} s"
-    text = f"{task}: {successor}, {deadline_s:.2f} s are claimed, from {since:.2f} s on"
+    first_holder = "no holder" if first is None else f"{first.process} after {first.begin - since:.2f} s"
+    text = f"{task}: {first_holder} since {since:.2f} s, the deadline is {deadline_s:.2f} s"
     return [Violation(LeaseInvariant.TAKEOVER.value, text)]
 
 
 def check_invariants(events: Sequence[AnyEvent]) -> InvariantReport:
-    """Check all invariants that need nothing but the history, and count its events."""
+    """Check all invariants that need only the history, and count its events."""
     report = InvariantReport(
         check_fencing_tokens(events) + check_mutual_exclusion(events) + check_linearizability(events)
     )
--- a/rosepick/lab/drill/lease_model_checker.py
+++ b/rosepick/lab/drill/lease_model_checker.py
@@ -1,9 +1,9 @@
-"""Explicit-state model checking of a lease: two clients, one register, time in discrete steps.
+"""Explicit-state model checking of a lease with two clients, one register and discrete time steps.
 
-The register is linearizable, as `model_checker` checks separately. In any order: a client starts an
-operation; the operation takes effect; its reply is delivered or lost; a change whose reply was lost takes
-effect later or never; a client pauses, or restarts under the same name; time advances. In each state, at
-most one client may act.
+The model assumes that the register is linearizable, which `model_checker` checks separately. These steps
+occur in any order: a client starts an operation; the operation takes effect; its reply is delivered or lost;
+a change whose reply was lost takes effect later or never; a client pauses, or restarts under the same name;
+time advances. In each state, at most one client may act.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 STEP_MS = 1_000.0
 CLIENT_NAMES = ("a", "b")
-UNCOMPARED_CLIENT_FIELDS = ("_jitter", "config")  # equal in all states
+UNCOMPARED_CLIENT_FIELDS = ("_jitter", "config")  # the same in all states
 
 
 @dataclass(frozen=True, slots=True)
 class ModelBounds:
-    """The size of the model.
+    """The bounds of the explored states.
 
     Attributes:
         horizon: number of time steps.
         ttl: time to live of the lease, in time steps.
-        lost_replies: how many replies may be lost.
-        restarts: how many times clients may restart.
-        releases: how many times holders may release the lease.
+        lost_replies: maximum number of lost replies.
+        restarts: maximum number of client restarts.
+        releases: maximum number of releases of the lease.
     """
 
     horizon: int = 7
@@ -46,21 +46,21 @@
 
 
 class PendingOperation(NamedTuple):
-    """An operation whose reply was not delivered: a read, if it has no change."""
+    """An operation whose reply was not yet delivered; it is a read if `change` is None."""
 
     change: RegisterChange | None
     outcome: OperationOutcome | None  # None until the operation takes effect
 
 
 class AbandonedChange(NamedTuple):
-    """A change that may still take effect though its client waits no longer."""
+    """A change that may still take effect although its client no longer waits for it."""
 
     owner_id: int
     change: RegisterChange
 
 
 class LeaseModel:
-    """Two clients of a lease, and its register."""
+    """The state of two clients of a lease and of its register."""
 
     def __init__(self, bounds: ModelBounds) -> None:
         self.bounds = bounds
@@ -71,7 +71,9 @@
         self.releases_left = bounds.releases
         self.last_owner_id = 0
         self.clients = [self._create_client(name) for name in CLIENT_NAMES]
-        self.pending_operations: list[PendingOperation | None] = [None] * len(CLIENT_NAMES)  # by client
+        self.pending_operations: list[PendingOperation | None] = [None] * len(
+            CLIENT_NAMES
+        )  # indexed by client
         self.abandoned_changes: list[AbandonedChange] = []
 
     def _create_client(self, name: str) -> LeaseClient:
@@ -95,17 +97,17 @@
     def state_key(self) -> tuple[object, ...]:
         """Return the state as a key."""
         clients = tuple(_client_key(client) for client in self.clients)
-        # the kind of a change follows from the client's state or, if it was abandoned, does not matter
+        # a client's state determines the kind of its change, and that of abandoned ones does not matter
         pending = tuple(
             None if operation is None else (operation.change is None, repr(operation.outcome))
             for operation in self.pending_operations
         )
         abandoned = tuple(abandoned.owner_id for abandoned in self.abandoned_changes)
-        left = (self.lost_replies_left, self.restarts_left, self.releases_left, self.last_owner_id)
-        return (self.now, self.register, clients, pending, abandoned, left)
+        counts_left = (self.lost_replies_left, self.restarts_left, self.releases_left, self.last_owner_id)
+        return (self.now, self.register, clients, pending, abandoned, counts_left)
 
     def successors(self) -> Iterator[LeaseModel]:
-        """Return each state that can follow this one."""
+        """Yield each successor of this state."""
         if self.now < self.bounds.horizon:
             successor = self.clone()
             successor.now += 1
@@ -149,7 +151,7 @@
     # -- steps
 
     def start_operation(self, index: int) -> bool:
-        """Start the next operation of a client; return whether it has one."""
+        """Start the next operation of a client; return False if it has none."""
         operation = self.clients[index].next_operation(self.now_ms)
         if operation is None:
             return False
@@ -157,34 +159,34 @@
         return True
 
     def apply_operation(self, index: int, pending: PendingOperation) -> None:
-        """Let the operation of a client take effect."""
+        """Apply the pending operation of a client to the register."""
         outcome = self._apply_change(pending.change)
         self.pending_operations[index] = PendingOperation(pending.change, outcome)
 
     def deliver_outcome(self, index: int, outcome: OperationOutcome) -> None:
-        """Deliver the reply to the operation of a client."""
+        """Deliver the outcome of a client's pending operation."""
         self.pending_operations[index] = None
         self.clients[index].handle_outcome(self.now_ms, outcome)
 
     def lose_reply(self, index: int) -> None:
-        """Lose the reply to the operation of a client, which then waits no longer."""
+        """Lose the reply to a client's operation; the client stops waiting for it."""
         self.lost_replies_left -= 1
         self._abandon_operation(index)
         self.clients[index].handle_outcome(self.now_ms, OperationOutcome(OutcomeKind.UNKNOWN))
 
     def restart_client(self, index: int) -> None:
-        """Replace a client by a new one of the same name."""
+        """Replace a client by a new one with the same name."""
         self.restarts_left -= 1
         self._abandon_operation(index)
         self.clients[index] = self._create_client(CLIENT_NAMES[index])
 
     def release_lease(self, index: int) -> None:
-        """Let the holder give the lease back."""
+        """Release the lease of a client."""
         self.releases_left -= 1
         self.clients[index].release()
 
     def apply_abandoned_change(self, index: int) -> None:
-        """Let a change take effect whose client waits no longer."""
+        """Apply a change whose client no longer waits for it."""
         self._apply_change(self.abandoned_changes.pop(index).change)
 
     def _apply_change(self, change: RegisterChange | None) -> OperationOutcome:
@@ -198,7 +200,7 @@
         return OperationOutcome(OutcomeKind.COMMITTED, self.register)
 
     def _abandon_operation(self, index: int) -> None:
-        """Forget the operation of a client; a change that has not taken effect may still do so."""
+        """Remove a client's pending operation; a change that has not taken effect may still do so."""
         pending = self.pending_operations[index]
         self.pending_operations[index] = None
         if pending is not None and pending.change is not None and pending.outcome is None:
@@ -206,10 +208,10 @@
             self.abandoned_changes.append(AbandonedChange(owner_id, pending.change))
 
     def find_violation(self) -> str:
-        """Return why two clients may act in this state, or an empty string."""
+        """Return a message if two clients may act in this state, or an empty string."""
         acting = [client for client in self.clients if client.may_act(self.now_ms)]
         if len(acting) > 1:
-            return f"two may act at step {self.now}, under tokens {acting[0].token} and {acting[1].token}"
+            return f"two clients may act at step {self.now}: tokens {acting[0].token} and {acting[1].token}"
         return ""
 
 
@@ -220,7 +222,7 @@
 
 
 def explore_leases(bounds: ModelBounds = DEFAULT_BOUNDS, max_states: int = MAX_STATES) -> ExplorationResult:
-    """Explore two clients of a lease."""
+    """Explore the model of a lease with two clients."""
     return explore_states(LeaseModel(bounds), LeaseModel.successors, _count_lease_state, max_states)
 
 
--- a/rosepick/lab/drill/linearizability.py
+++ b/rosepick/lab/drill/linearizability.py
@@ -1,9 +1,10 @@
-"""Whether the operations on one register are linearizable, each taking effect between its begin and its end.
+"""Checks whether the operations on one register are linearizable.
 
-The search is that of Wing and Gong (1993) with the memoization of Lowe (2017): extend the order by any
-operation that may come next, and never visit the same set of operations with the same value twice. Registers
-are independent of each other, so each is checked alone. Version numbers make the search short, they do not
-replace it: the order in time is what is checked.
+They are if they have a valid order in which each takes effect between its start and its end. The search is
+that of Wing and Gong (1993) with the memoization of Lowe (2017): it extends the order by any operation that
+may come next and never visits the same set of operations with the same value twice. Registers are
+independent, so each is checked alone. Version numbers shorten the search but do not replace it: the check
+concerns the order in time.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 
 from .history import RegisterOperation
 
-MAX_OPERATIONS_TO_MINIMIZE = 2_000  # above it a counterexample keeps its reads, as leaving out is quadratic
+MAX_OPERATIONS_TO_MINIMIZE = 2_000  # larger counterexamples keep all reads: removal takes quadratic time
 ANY_CHANGE_ID = "any"
 
 
 class _Value(NamedTuple):
-    """What identifies a register's value."""
+    """The identification of a register's value."""
 
     version: int
     change_id: str
@@ -31,9 +32,10 @@
 
 
 class _Step(NamedTuple):
-    """An operation with the value that it needs and the one that it leaves.
+    """An operation with the register's values before and after it.
 
-    `before` is None if any value will do, `after` is None if it is the next version, whichever that is.
+    `before` is None if the operation fits any value. `after` is None if it is the version after the current
+    one, whichever that is.
     """
 
     operation: RegisterOperation
@@ -42,16 +44,16 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether its end is known, so that it has to be part of the order."""
+        """Whether the operation's end is known, so that the order must contain it."""
         return self.operation.at < inf
 
     @property
     def is_read(self) -> bool:
-        """Whether it leaves the value that it needs."""
+        """Whether the operation leaves the value unchanged."""
         return self.after is not None and self.before == self.after
 
     def apply(self, value: _Value) -> _Value | None:
-        """Return the value after this step, or None if it cannot be taken from `value`."""
+        """Return the value after this step, or None if the step does not fit `value`."""
         if self.after is None:
             return _Value(value.version + 1, self.operation.mark)
         fits = self.before == value or (
@@ -64,29 +66,29 @@
 
 @dataclass(slots=True, eq=False)
 class _Entry:
-    """The begin or the end of an operation, in a doubly linked list ordered by time."""
+    """The start or the end of an operation, in a doubly linked list ordered by time."""
 
     step_index: int
-    end: _Entry | None = None  # the end that belongs to this begin; None: this is an end
+    end: _Entry | None = None  # the matching end of a start; None for an end
     previous: _Entry | None = None
     next: _Entry | None = None
 
     def insert_links(self) -> None:
-        """Link the neighbours to this entry."""
+        """Insert this entry between its neighbours."""
         assert self.previous is not None
         self.previous.next = self
         if self.next is not None:
             self.next.previous = self
 
     def remove_links(self) -> None:
-        """Link the neighbours to each other; this entry still knows them."""
+        """Link the neighbours to each other; this entry keeps its links to them."""
         assert self.previous is not None
         self.previous.next = self.next
         if self.next is not None:
             self.next.previous = self.previous
 
     def unlink(self) -> None:
-        """Take a begin and its end out of the list."""
+        """Remove a start and its end from the list."""
         assert self.end is not None
         self.remove_links()
         self.end.remove_links()
@@ -101,10 +103,10 @@
 def _constrained_steps(operations: Sequence[RegisterOperation], include_unseen: bool) -> list[_Step]:
     """Return the steps that constrain the order.
 
-    A change whose outcome is unknown took effect if its value was seen, or a value made from it. Any other
-    one may have taken effect between two others (`include_unseen`) or not at all.
+    A change with an unknown outcome took effect if an operation saw its value or a value derived from it.
+    Any other such change may have taken effect between two others (`include_unseen`) or not at all.
     """
-    parent_of: dict[str, tuple[int, str | None]] = {}  # by change id: version, and parent if it is known
+    parent_of: dict[str, tuple[int, str | None]] = {}  # change id to version and, if known, parent
     for operation in operations:
         if operation.kind in ("done", "read") and operation.version:
             parent_of.setdefault(operation.base, (operation.version - 1, None))
@@ -118,19 +120,19 @@
             steps.append(_Step(operation, _Value(operation.version - 1, operation.base), value))
         elif operation.kind in ("unknown", "open"):
             version, parent = parent_of.get(operation.mark, (0, None))
-            endless = RegisterOperation(
+            unbounded_operation = RegisterOperation(
                 operation.process, inf, operation.begin, operation.key, operation.mark, "open"
             )
             if operation.mark in parent_of:
                 before = _Value(version - 1, ANY_CHANGE_ID if parent is None else parent)
-                steps.append(_Step(endless, before, _Value(version, operation.mark)))
+                steps.append(_Step(unbounded_operation, before, _Value(version, operation.mark)))
             elif include_unseen:
-                steps.append(_Step(endless, None, None))
+                steps.append(_Step(unbounded_operation, None, None))
     return steps
 
 
 def _build_entry_list(steps: Sequence[_Step]) -> _Entry:
-    """Return the head of the list of begins and ends by time; of equal times, begins come first."""
+    """Return the head of the list of starts and ends by time; at equal times, starts come first."""
     timed_entries = []
     for index, step in enumerate(steps):
         end = _Entry(index)
@@ -146,7 +148,7 @@
 
 
 def is_linearizable(operations: Sequence[RegisterOperation]) -> bool:
-    """Return whether there is a valid order for the operations of one register."""
+    """Return whether the operations of one register have a valid order."""
     seen_only = _constrained_steps(operations, include_unseen=False)
     with_unseen = _constrained_steps(operations, include_unseen=True)
     return _Search(seen_only).run() or (len(with_unseen) > len(seen_only) and _Search(with_unseen).run())
@@ -158,53 +160,53 @@
     def __init__(self, steps: Sequence[_Step]) -> None:
         self._steps = steps
         self._head = _build_entry_list(steps)
-        self._missing = sum(step.is_complete for step in steps)
+        self._remaining_count = sum(step.is_complete for step in steps)
         self._value = INITIAL_VALUE
-        self._taken = 0  # bit set of the steps that are in the order
+        self._linearized = 0  # bit set of the steps in the order
         self._stack: list[tuple[_Entry, _Value]] = []
         self._visited: set[tuple[int, _Value]] = set()
 
     def run(self) -> bool:
         """Return whether a valid order exists."""
         entry = self._head.next
-        while self._missing:
+        while self._remaining_count:
             assert entry is not None
-            if entry.end is None:  # an operation that ended is not in the order yet
-                last_tried = self._backtrack()
-                if last_tried is None:
+            if entry.end is None:  # this operation ended and is not in the order yet
+                removed_entry = self._backtrack()
+                if removed_entry is None:
                     return False
-                entry = last_tried.next
-            elif self._take(entry):
+                entry = removed_entry.next
+            elif self._linearize(entry):
                 entry = self._head.next
             else:
                 entry = entry.next
         return True
 
-    def _take(self, entry: _Entry) -> bool:
-        """Append a step to the order; return False if it does not fit, or leads where the search has been."""
+    def _linearize(self, entry: _Entry) -> bool:
+        """Append a step to the order; return False if it does not fit or leads to a visited state."""
         step = self._steps[entry.step_index]
         value = step.apply(self._value)
-        taken = self._taken | 1 << entry.step_index
-        if value is None or (taken, value) in self._visited:
+        linearized = self._linearized | 1 << entry.step_index
+        if value is None or (linearized, value) in self._visited:
             return False
-        self._visited.add((taken, value))
+        self._visited.add((linearized, value))
         self._stack.append((entry, self._value))
-        self._taken = taken
+        self._linearized = linearized
         self._value = value
-        self._missing -= step.is_complete
+        self._remaining_count -= step.is_complete
         entry.unlink()
         return True
 
     def _backtrack(self) -> _Entry | None:
-        """Remove the last step that could also come later, and return its entry; None if there is none.
+        """Remove steps up to the last one that is not a read, and return its entry; None if there is none.
 
-        A read that fits is best taken at once: taking it later opens no other order, so it is removed too.
+        A read that fits never needs to come later, as a later position allows no additional order.
         """
         while self._stack:
             entry, self._value = self._stack.pop()
             step = self._steps[entry.step_index]
-            self._taken &= ~(1 << entry.step_index)
-            self._missing += step.is_complete
+            self._linearized &= ~(1 << entry.step_index)
+            self._remaining_count += step.is_complete
             entry.relink()
             if not step.is_read:
                 return entry
@@ -220,7 +222,7 @@
 
 
 def _truncate_at(operations: Sequence[RegisterOperation], time: float) -> list[RegisterOperation]:
-    """Return what was known at a time: operations that had not ended by then are open."""
+    """Return the history up to a time: operations that had not ended by then are open."""
     return [
         operation
         if operation.at <= time
@@ -233,9 +235,9 @@
 
 
 def minimal_counterexample(operations: Sequence[RegisterOperation]) -> list[RegisterOperation]:
-    """Return a small part of a history that is not linearizable, which is not linearizable either.
+    """Return a small part of a non-linearizable history that is not linearizable either.
 
-    It ends at the first time at which no order was valid any more, and no single read of it can be left out.
+    It ends at the earliest time at which no order is valid. Unless it is large, it needs each of its reads.
     """
     end_times = sorted(operation.at for operation in operations)
     low = 0
--- a/rosepick/lab/drill/model_checker.py
+++ b/rosepick/lab/drill/model_checker.py
@@ -1,9 +1,9 @@
-"""Explicit-state model checking of one register: two proposers change it, some acceptors hold it.
+"""Explicit-state model checking of one register that two proposers change and several acceptors store.
 
-The proposers and acceptors are those of the program. Every order in which messages can be delivered is
-explored. A message that is in flight may be delivered next or never, so a state in which it has not been
-delivered stands for its loss, too. States that differ only in the names of acceptors are explored once. In
-each state, the versions that have been chosen so far have to form one chain.
+The proposers and acceptors are the production code. The model checker explores every order in which messages
+can be delivered. A message in flight may be delivered next or never, so a state in which it is undelivered
+also covers its loss. States that differ only in the names of acceptors are explored once. In each state, the
+versions chosen so far must form one chain.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
 
 @dataclass(slots=True)
 class ExplorationResult:
-    """Counts of an exploration, and what is wrong with the first state that violates an invariant."""
+    """Counts of an exploration, and the violation of the first state that breaks an invariant."""
 
     states: int = 0
     steps: int = 0
     depth: int = 0
-    terminal_states: int = 0  # states with nothing in flight or, of leases, at the last point in time
-    completed_states: int = 0  # terminal states with both changes made or, of leases, states with a holder
+    terminal_states: int = 0  # no message is in flight; for leases: at the last time step
+    completed_states: int = 0  # terminal, with both changes committed; for leases: with a holder
     violations: list[str] = field(default_factory=list)
 
 
 class ModelState(Protocol):
-    """A state of a model."""
+    """The interface of a model's states."""
 
     def state_key(self) -> tuple[object, ...]:
-        """Return a key that tells this state from others."""
+        """Return a key that distinguishes this state from others."""
 
     def find_violation(self) -> str:
-        """Return why an invariant does not hold in this state, or an empty string."""
+        """Return a description of the invariant that this state violates, or an empty string."""
 
 
 StateT = TypeVar("StateT", bound=ModelState)
@@ -54,13 +54,13 @@
     count_state: Callable[[StateT, ExplorationResult], None],
     max_states: int,
 ) -> ExplorationResult:
-    """Explore the reachable states breadth first, up to the first that violates an invariant.
+    """Explore the reachable states breadth first, up to the first violation of an invariant.
 
     Args:
-        initial_state: where the exploration starts.
-        successors: returns the states that can follow a state.
-        count_state: updates the result's counts of special states for a state.
-        max_states: ends the exploration at the first depth by which so many states were explored.
+        initial_state: the state from which the exploration starts.
+        successors: returns the successors of a state.
+        count_state: updates the result's counts of terminal and completed states for a state.
+        max_states: the exploration ends after the depth at which this number of states is reached.
     """
     result = ExplorationResult()
     seen = {hash(initial_state.state_key())}
@@ -85,9 +85,9 @@
 
 
 class InFlightMessage(NamedTuple):
-    """A message that was sent and not delivered yet."""
+    """A message that was sent and not yet delivered."""
 
-    proposer: int  # index of the proposer that sent or awaits it
+    proposer: int  # index of the proposer that sent the request
     acceptor: int
     is_request: bool
     message: m.QuorumMessage
@@ -105,28 +105,28 @@
     """A proposer whose state can be copied and compared."""
 
     def clone(self, next_request_id: Callable[[], int]) -> ModelProposer:
-        """Return a copy that takes the ids of its requests from another function."""
+        """Return a copy that takes its request ids from `next_request_id`."""
         clone = copy.copy(self)
         clone.detach(next_request_id)
         return clone
 
     def detach(self, next_request_id: Callable[[], int]) -> None:
-        """Replace all state that is shared with the proposer that this one was copied from."""
+        """Copy all mutable state that this proposer shares with its original."""
         self._votes = dict(self._votes)
         self._opponents = set(self._opponents)
         self._ballots = copy.copy(self._ballots)
         self._next_request_id = next_request_id
 
     def awaits(self, message: m.QuorumMessage) -> bool:
-        """Return whether the message belongs to the present phase."""
+        """Return whether a message belongs to the current phase."""
         return message.request_id == self._request_id
 
     def vote_key(self, acceptor: str) -> tuple[str, bool]:
-        """Return what the proposer knows of an acceptor."""
+        """Return the proposer's knowledge of an acceptor as a key."""
         return repr(self._votes.get(acceptor)), acceptor in self._opponents
 
     def state_key(self) -> tuple[object, ...]:
-        """Return what the proposer knows, apart from the votes."""
+        """Return the proposer's state without its votes as a key."""
         return (
             self._phase.value,
             self._current_ballot,
@@ -138,7 +138,7 @@
 
 
 class RegisterModel:
-    """Two proposers, some acceptors, and the messages between them."""
+    """The state of two proposers, several acceptors and the messages between them."""
 
     def __init__(self, acceptors: int, retries: int) -> None:
         members = tuple(QuorumMember(str(index), f"disk {index}") for index in range(acceptors))
@@ -149,9 +149,11 @@
         for acceptor in self.acceptors:
             acceptor.handle(m.InstallEpochRequest(0, quorum, {}))
         self._last_request_id = 0
-        self.retries_left = [retries] * len(CHANGE_IDS)  # by proposer
+        self.retries_left = [retries] * len(CHANGE_IDS)  # indexed by proposer
         self.chosen: frozenset[ChosenVersion] = frozenset()
-        self.accepted: frozenset[tuple[int, Ballot]] = frozenset()  # acceptors and what they ever accepted
+        self.accepted: frozenset[tuple[int, Ballot]] = (
+            frozenset()
+        )  # each acceptor's index with a ballot that it accepted
         self.in_flight: list[InFlightMessage] = []
         self.proposers: list[ModelProposer] = []
         for index, change_id in enumerate(CHANGE_IDS):
@@ -179,17 +181,17 @@
         return clone
 
     def detach_proposers(self) -> None:
-        """Replace the proposers by copies that take the ids of their requests from this model."""
+        """Replace the proposers by copies that take their request ids from this model."""
         self.proposers = [proposer.clone(self._next_request_id) for proposer in self.proposers]
 
     def state_key(self) -> tuple[object, ...]:
-        """Return the state as a key; request ids count only as being of the present phase or not."""
+        """Return the state as a key; of request ids, it has only whether they belong to the current phase."""
         acceptors = sorted(self._acceptor_key(index) for index in range(len(self.acceptors)))
         proposers = tuple(proposer.state_key() for proposer in self.proposers)
         return (tuple(acceptors), proposers, tuple(self.retries_left), self.chosen)
 
     def _acceptor_key(self, index: int) -> tuple[object, ...]:
-        """Return the state of an acceptor, of its messages and of its votes, without its name."""
+        """Return the state of an acceptor, its messages and its votes as a key, without its name."""
         messages = sorted(
             (
                 in_flight.proposer,
@@ -207,7 +209,7 @@
         return (repr(register_state), tuple(messages), votes, ballots)
 
     def successors(self) -> Iterator[RegisterModel]:
-        """Return each state that can follow this one."""
+        """Yield each successor of this state."""
         for index in range(len(self.in_flight)):
             successor = self.clone()
             successor.deliver(index)
@@ -219,7 +221,7 @@
                 yield successor
 
     def deliver(self, index: int) -> None:
-        """Deliver a message that is in flight."""
+        """Deliver the message at an index of `in_flight`."""
         proposer, acceptor, is_request, message = self.in_flight.pop(index)
         if is_request:
             reply, _ = self.acceptors[acceptor].handle(message)  # type: ignore[arg-type]
@@ -230,12 +232,12 @@
             self._send_requests(proposer, requests)
 
     def retry(self, index: int) -> None:
-        """Let a proposer start a new round."""
+        """Start a new round of a proposer."""
         self.retries_left[index] -= 1
         self._send_requests(index, self.proposers[index].retry())
 
     def _record_chosen(self, index: int) -> None:
-        """Record a value as chosen if a majority has accepted it under one ballot, at whatever times."""
+        """Record a value as chosen once a majority accepted it under one ballot, even at different times."""
         state = self.acceptors[index].state.register_states.get(REGISTER_KEY)
         if state is None or state.accepted_ballot == NO_BALLOT:
             return
@@ -245,25 +247,25 @@
             self.chosen |= {_chosen_version(state.register)}
 
     def find_violation(self) -> str:
-        """Return why the chosen versions form no chain, or which outcome is wrong; empty if all holds."""
+        """Return why the chosen versions form no chain or which outcome is wrong, or an empty string."""
         change_ids = {chosen.version: chosen.change_id for chosen in self.chosen}
         if len(change_ids) < len(self.chosen):
             return "two values of one version are chosen"
         if len(set(change_ids.values())) < len(self.chosen):
-            return "a change is made twice"
+            return "a change is chosen twice"
         for chosen in self.chosen:
             if change_ids.get(chosen.version - 1, chosen.parent_change_id) != chosen.parent_change_id:
-                return "a value is made of another than the one before it"
+                return "a value is not derived from the version before it"
         for proposer in self.proposers:
             outcome = proposer.outcome
             if outcome is None or outcome.kind is not OutcomeKind.COMMITTED:
                 continue
             if _chosen_version(outcome.register) not in self.chosen:
-                return "a change is said to be done that is not"
+                return "a change that was not chosen is reported as committed"
         return ""
 
     def is_completed(self) -> bool:
-        """Return whether each proposer knows that its change was made."""
+        """Return whether each proposer knows that its change was committed."""
         return all(
             proposer.outcome is not None and proposer.outcome.kind is OutcomeKind.COMMITTED
             for proposer in self.proposers
@@ -291,7 +293,7 @@
 
 
 def explore_register(acceptors: int = 3, retries: int = 0, max_states: int = MAX_STATES) -> ExplorationResult:
-    """Explore two proposers and their acceptors; each proposer may retry so many times."""
+    """Explore the model of a register; each proposer may retry up to `retries` times."""
     model = RegisterModel(acceptors, retries)
     return explore_states(model, RegisterModel.successors, _count_register_state, max_states)
 
--- a/rosepick/lab/drill/release_invariants.py
+++ b/rosepick/lab/drill/release_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of releases (docs/releases.md), checked on the versions that members were seen to run."""
+"""Checks the invariants of releases (docs/releases.md) on the versions that members were observed to run."""
 
 from __future__ import annotations
 
@@ -12,22 +12,23 @@
 
 
 class ReleaseInvariant(StrEnum):
-    """Names of the properties of releases, as reports and mutations.toml have them."""
+    """Properties of releases; reports and tests/mutations.toml contain the values."""
 
-    PERMISSION = "reach"  # a member runs only what the rollout record allows it
-    EXPOSURE = "stopped"  # a bad version reaches few members
-    CONVERGENCE = "one version"  # at the end all run what the record says
-    ROLLBACK = "taken back"  # no bad version is left at the end
+    PERMISSION = "reach"  # members run only versions that the rollout record allows them
+    EXPOSURE = "stopped"  # a bad version runs on few members
+    CONVERGENCE = "one version"  # at the end all members run the version of the record
+    ROLLBACK = "taken back"  # at the end no member is assigned a bad version
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseBounds:
-    """What the invariants allow for.
+    """The limits against which a history is checked.
 
-    A member may begin to run a version until `permission_grace_s` seconds after the record last allowed it:
-    its agent acts on a read that may be so old, and the member has to start. `max_members_by_bad_version` has
-    the versions that are worse, and how many members may ever run each; `members` are all that are released
-    to.
+    Attributes:
+        permission_grace_s: seconds after the record last allowed a version in which a member may still start
+            it. They cover the age of the read on which its agent acts, and the member's start.
+        max_members_by_bad_version: for each bad version, how many members may ever run it.
+        members: all members that take part in releases.
     """
 
     permission_grace_s: float
@@ -42,10 +43,10 @@
         self.violations: list[Violation] = []
         self.counts: Counter[str] = Counter()
         self._bounds = bounds
-        self._allowed_until: dict[tuple[str, str], float] = {}  # by member and version
-        self._allowed_members: dict[str, set[str]] = {}  # by version, as the last decision has it
-        self._running: dict[str, VersionStarted] = {}  # by member
-        self._members_by_version: dict[str, set[str]] = {}  # which ever ran it
+        self._allowed_until: dict[tuple[str, str], float] = {}  # keyed by member and version
+        self._allowed_members: dict[str, set[str]] = {}  # keyed by version, as of the last decision
+        self._running: dict[str, VersionStarted] = {}  # keyed by member
+        self._members_by_version: dict[str, set[str]] = {}  # all members that ever ran a version
         self._last_decision: ReleaseDecided | None = None
 
     def add(self, event: AnyEvent) -> None:
@@ -65,7 +66,7 @@
         self._last_decision = decision
 
     def _members_allowed_by(self, decision: ReleaseDecided) -> dict[str, set[str]]:
-        """Return who may run each version; all may run the replaced one, for a rollback."""
+        """Return the members allowed to run each version; all may run the replaced one, for a rollback."""
         members = set(self._bounds.members)
         if decision.over:
             return {decision.version: members}
@@ -79,7 +80,7 @@
         self._running[start.process] = start
         self._members_by_version.setdefault(start.version, set()).add(start.process)
         if not is_first and not self._is_allowed(start):
-            text = f"{start.process} began to run {start.version}, which nobody had allowed it"
+            text = f"{start.process} started {start.version} without permission"
             events = (start,) if self._last_decision is None else (self._last_decision, start)
             self.violations.append(Violation(ReleaseInvariant.PERMISSION.value, text, events))
 
@@ -89,43 +90,45 @@
         return start.at <= self._allowed_until.get((start.process, start.version), -1.0)
 
     def finish(self) -> None:
-        """Check what holds for the whole history and for its end."""
-        for version, most in self._bounds.max_members_by_bad_version.items():
-            reached = len(self._members_by_version.get(version, ()))
-            self.counts["bad versions begun"] += reached > 0
-            self.counts[f"members that ran {version.partition('-')[0]}"] += reached
-            if reached > most:
-                text = f"{version} was run by {reached} members, {most} at most were to see that it is worse"
+        """Check the invariants that concern the whole history or its end."""
+        for version, max_members in self._bounds.max_members_by_bad_version.items():
+            member_count = len(self._members_by_version.get(version, ()))
+            self.counts["bad versions begun"] += member_count > 0
+            self.counts[f"members that ran {version.partition('-')[0]}"] += member_count
+            if member_count > max_members:
+                text = f"{member_count} members ran the bad version {version}, the limit is {max_members}"
                 self.violations.append(Violation(ReleaseInvariant.EXPOSURE.value, text))
         if self._last_decision is not None:
             self._check_final_versions(self._last_decision)
 
-    def _check_final_versions(self, last: ReleaseDecided) -> None:
-        """Check that all members run the version that the record says, and that it is no bad one."""
-        if not last.over:
-            text = f"release {last.number} is not over"
-            self.violations.append(Violation(ReleaseInvariant.CONVERGENCE.value, text, (last,)))
+    def _check_final_versions(self, decision: ReleaseDecided) -> None:
+        """Check that all members run the version of the last decision, and that it is not a bad one."""
+        if not decision.over:
+            text = f"release {decision.number} is still open at the end"
+            self.violations.append(Violation(ReleaseInvariant.CONVERGENCE.value, text, (decision,)))
             return
-        others = [
+        mismatched_starts = [
             start
             for name, start in self._running.items()
-            if name in self._bounds.members and start.version != last.version
+            if name in self._bounds.members and start.version != decision.version
         ]
-        if others:
-            names = ", ".join(start.process for start in others)
-            text = f"{names}: not {last.version}, as the record says"
-            self.violations.append(Violation(ReleaseInvariant.CONVERGENCE.value, text, (last, *others)))
-        if last.version in self._bounds.max_members_by_bad_version:
-            text = f"all are to run {last.version}, which is worse"
-            self.violations.append(Violation(ReleaseInvariant.ROLLBACK.value, text, (last,)))
+        if mismatched_starts:
+            names = ", ".join(start.process for start in mismatched_starts)
+            text = f"{names} do not run {decision.version}, the version of the record"
+            self.violations.append(
+                Violation(ReleaseInvariant.CONVERGENCE.value, text, (decision, *mismatched_starts))
+            )
+        if decision.version in self._bounds.max_members_by_bad_version:
+            text = f"all members are assigned the bad version {decision.version}"
+            self.violations.append(Violation(ReleaseInvariant.ROLLBACK.value, text, (decision,)))
 
 
 def check_invariants(
     events: Sequence[AnyEvent], bounds: ReleaseBounds
 ) -> tuple[list[Violation], Counter[str]]:
-    """Check a history for versions that were not allowed, that spread too far or that stay at the end.
+    """Check a history for forbidden starts, bad versions on too many members and wrong versions at the end.
 
-    Returns the violations and counts of what was checked.
+    Returns the violations and the counts of checked events.
     """
     checker = _ReleaseChecker(bounds)
     for event in events:
--- a/rosepick/lab/drill/simulated_drains.py
+++ b/rosepick/lab/drill/simulated_drains.py
@@ -1,6 +1,6 @@
 """Fault-injection test of drains on simulated processes.
 
-Agents and their drivers are those of the program; members are simulated, and operators give random orders.
+Agents and their drivers are the production code; members are simulated, and operators issue random orders.
 """
 
 from __future__ import annotations
@@ -37,18 +37,18 @@
     anti_affinity_groups={"rack": ("c0", "c5")},
     unplanned_allowance=1,
 )
-AGENT_CONFIG = AgentPolicy(poll_interval_ms=400.0, partition_timeout_ms=5_000.0, min_serving_ms=600.0)
-FAILURE_DETECTOR_CONFIG = FailureDetectorPolicy(report_timeout_ms=5_000.0)
+AGENT_POLICY = AgentPolicy(poll_interval_ms=400.0, partition_timeout_ms=5_000.0, min_serving_ms=600.0)
+FAILURE_DETECTOR_POLICY = FailureDetectorPolicy(report_timeout_ms=5_000.0)
 HEARTBEAT_INTERVAL_MS = 1_200.0
-ORDER_INTERVAL_S = 1.3  # on average
-REJOIN_DEADLINE_S = 30.0  # within which all members are in after the last fault
+ORDER_INTERVAL_S = 1.3  # mean time between orders
+REJOIN_DEADLINE_S = 30.0  # from the last fault until all members are in service
 OPERATION_TIMEOUT_MS = 3_000.0
-FORCED_DRAIN_WINDOW_S = 20.0  # in which a member that was ordered out at once may exceed the budget
-EVICTION_TIME_MS = 4_000.0
-REINSTATEMENT_DELAY_S = 6.0  # until a reinstated member is known to be counted again
+FORCED_DRAIN_WINDOW_S = 20.0  # time after an immediate drain in which its member may exceed the budget
+EVICTION_TIME_MS = 4_000.0  # until an evicted member is reinstated
+REINSTATEMENT_DELAY_S = 6.0  # until all agents count a reinstated member again
 FIRST_FAULT_AT_S = 1.5
-FINAL_DRAIN_CANCELS_S = (0.0, 4.0, 8.0)  # an earlier order may be accepted after the first of these
-HALT_EFFECTIVE_S = 2.6  # by the slowest clock
+FINAL_DRAIN_CANCELS_S = (0.0, 4.0, 8.0)  # repeated, as an earlier order may be accepted after the first
+HALT_EFFECTIVE_S = 2.6  # divided by the rate of the slowest clock
 
 
 class SimulatedAgent(SimulatedLeaseClient):
@@ -69,19 +69,19 @@
         return SimulatedMember(cluster, name, kind, zone)
 
     def start(self) -> None:
-        """Start the agent; its member too at the begin of the test."""
+        """Start the agent and, at the beginning of the test, its member."""
         super().start()
         if self.drain_cluster.now < INITIAL_STARTS_UNTIL_S:
             self.member.start()
         assert self.client is not None
         cluster = self.drain_cluster
         member = self.member
-        agent = Agent(member.name, member.kind, member.zone, 1000, cluster.budget, AGENT_CONFIG, self.disk)
+        agent = Agent(member.name, member.kind, member.zone, 1000, cluster.budget, AGENT_POLICY, self.disk)
         observer, rollout_policy = self._create_observer(agent)
         config = AgentDriverConfig(
             GROUP,
             LeaseConfig(cluster.config.lease_ttl_s * 1000.0, cluster.config.drift),
-            FAILURE_DETECTOR_CONFIG,
+            FAILURE_DETECTOR_POLICY,
             HEARTBEAT_INTERVAL_MS,
             rollout_policy,
             lambda: cluster.now,
@@ -89,19 +89,19 @@
         self.driver = AgentDriver(self.client, agent, observer, FencingGuard(self.disk.tokens), config)
 
     def _create_observer(self, _agent: Agent) -> tuple[MemberObserver, RolloutPolicy | None]:
-        """Return the observer of its member, and the policy by which it would lead rollouts."""
+        """Return the observer of the member, and the policy of rollouts that the agent leads, if any."""
         return MemberObserver(self.member), None
 
 
 class SimulatedDrainCluster(SimulatedCluster):
-    """Agents in the place of lease clients, and an operator with random orders."""
+    """A cluster with agents instead of lease clients, and an operator that issues random orders."""
 
     budget = BUDGET
     rejoin_deadline_s = REJOIN_DEADLINE_S
 
     def __init__(self, config: SimulationConfig, seed: int) -> None:
         super().__init__(config, seed)
-        self.orders = random.Random(seed * 13 + 5)
+        self.order_rng = random.Random(seed * 13 + 5)
         self.faults_stopped = False
         self.fault_injector.handlers.register(FaultName.MEMBER_CRASH, self._crash_member)
         self.fault_injector.handlers.register(FaultName.HOST_LOSS, self._lose_host)
@@ -130,23 +130,23 @@
         self.fault_injector.kill(number, fault)
 
     def _fill_disk(self, _number: int, fault: Fault) -> None:
-        """Have an agent's disk refuse writes, also those of its next start, for the fault's time."""
+        """Make writes to an agent's disk fail until the fault ends, also after a restart of the agent."""
         disk = self.agents[fault.target[0]].disk
-        disk.refusals += 1
+        disk.active_write_faults += 1
 
-        def empty() -> None:
-            disk.refusals -= 1
+        def end_fault() -> None:
+            disk.active_write_faults -= 1
 
-        self.schedule_in(fault.length, empty)
+        self.schedule_in(fault.length, end_fault)
 
-    # -- orders
+    # -- operator orders
 
     def _start_clients(self) -> None:
         super()._start_clients()
         self._issue_random_order()
 
     def _send_order(self, order: str, change: RegisterChange, names: tuple[str, ...] = ()) -> None:
-        """Send an operator's order, and record it if it is known to be accepted."""
+        """Send an operator's order, and record it if the outcome shows that it was accepted."""
         client = self.operator.client
         assert client is not None
 
@@ -161,7 +161,7 @@
     def _issue_random_order(self) -> None:
         if self.faults_stopped:
             return
-        rng = self.orders
+        rng = self.order_rng
         now = self.now
         names = rng.sample(list(self.agents), rng.choice((1, 1, 2, 3, len(self.agents) // 2)))
         draw = rng.random()
@@ -182,7 +182,7 @@
         self.operator.call_after(1000.0 * ORDER_INTERVAL_S * rng.uniform(0.3, 1.7), self._issue_random_order)
 
     def _resume_drains(self) -> None:
-        """Resume drains; recorded before and after, as it may be accepted at any time between."""
+        """Resume drains; record the order before and after, as it may take effect at any time between."""
         self.record_event(OperatorOrderAccepted("operator", self.now, "resume"))
         client = self.operator.client
         assert client is not None
@@ -200,8 +200,8 @@
 
     def _order_forced_drain(self, name: str) -> None:
         member = self.agents[name].member
-        member.free = True
-        self.schedule_in(FORCED_DRAIN_WINDOW_S, lambda: setattr(member, "free", False))
+        member.exempt_from_budget = True
+        self.schedule_in(FORCED_DRAIN_WINDOW_S, lambda: setattr(member, "exempt_from_budget", False))
         self._send_order(
             "now", fleet_state.request_drain([name], "a", "it dies", self.now, immediate=True), (name,)
         )
@@ -238,7 +238,7 @@
             self.schedule_in(delay_s, self._cancel_all_drains)
 
     def _cancel_all_drains(self) -> None:
-        """Cancel all drains, until that is accepted; a halt stays."""
+        """Cancel all drains, and retry until the order is accepted; a halt remains in force."""
         client = self.operator.client
         assert client is not None
 
@@ -253,10 +253,10 @@
             OPERATION_TIMEOUT_MS,
         )
 
-    # -- the end
+    # -- running and final checks
 
     def run(self) -> InvariantReport:
-        """Run the whole test and check its history."""
+        """Run the test and check its history."""
         self._bootstrap_quorum()
         self.schedule(CLIENTS_START_AT_S, None, self._start_clients)
         self._schedule_faults(FIRST_FAULT_AT_S)
@@ -272,20 +272,20 @@
         return report
 
     def _bounds(self) -> drain_invariants.DrainBounds:
-        """Return the budget, and the delays for a process with the slowest clock."""
+        """Return the budget, and the delays that hold for a process with the slowest clock."""
         slowest_clock = 1.0 - self.config.max_clock_skew
         failure_known_ms = (
-            FAILURE_DETECTOR_CONFIG.report_timeout_ms
+            FAILURE_DETECTOR_POLICY.report_timeout_ms
             + HEARTBEAT_INTERVAL_MS
             + AGENT_OPERATION_TIMEOUT_MS
-            + AGENT_CONFIG.max_sweep_age_ms
+            + AGENT_POLICY.max_sweep_age_ms
             + AGENT_OPERATION_TIMEOUT_MS
         )
         failure_known_s = failure_known_ms / 1000.0 / slowest_clock
         return drain_invariants.DrainBounds(self.budget, failure_known_s, HALT_EFFECTIVE_S / slowest_clock)
 
     def _check_members_rejoined(self) -> list[Violation]:
-        """Check that every permit has ended, and that every member serves."""
+        """Check that at the end no member holds a permit and every member serves."""
         violations = []
         for name, agent in self.agents.items():
             state = None if agent.driver is None else agent.driver.agent.fleet_state
@@ -296,7 +296,7 @@
             phase = "unknown"
             if member is not None:
                 phase = f"{MemberPhase(member.phase).name.lower()}, permit {member.permit}"
-            text = f"{name} is {phase}, {'up' if up else 'down'}, long after the last fault"
+            text = f"{name} is {phase}, {'up' if up else 'down'} at the end of the test"
             violations.append(Violation("ends", text))
         return violations
 
--- a/rosepick/lab/drill/simulated_faults.py
+++ b/rosepick/lab/drill/simulated_faults.py
@@ -17,18 +17,18 @@
 from .simulated_replica import SimulatedReplica
 from .simulation import SimulatedProcess
 
-OLDER_STORAGE_QUIET_S = 9.0  # no other faults of replicas and links while an older storage is put back
-OLDER_STORAGE_WORK_S = 4.0  # how long the replica works before its older storage is put back
-OLDER_STORAGE_ISOLATION_S = 2.5  # how long the replicas that saw its votes cannot be reached afterwards
-MAX_LINK_DELAY_S = 1.0  # amounts above it are bytes per second
-TRICKLE_DELAY_S = 0.3  # stands for a link that carries few bytes per second
+OLDER_STORAGE_EXCLUSION_S = 9.0  # no other faults of replicas and links while an older storage is restored
+OLDER_STORAGE_WORK_S = 4.0  # how long the replica runs before its older storage is restored
+OLDER_STORAGE_ISOLATION_S = 2.5  # how long the replicas that saw its votes are unreachable afterwards
+MAX_LINK_DELAY_S = 1.0  # larger amounts are bytes per second
+TRICKLE_DELAY_S = 0.3  # delay that models a link of few bytes per second
 FORCE_RELEASE_TIMEOUT_MS = 1_500.0
 
 
 class SimulatedFaultInjector:
-    """Injects faults by the handlers of their kinds, and has those of leases.
+    """Injects faults through the handlers of their kinds; it defines those for tests of leases.
 
-    `counts` has how many faults of each kind were injected.
+    `counts` has the number of injected faults by kind.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._replicas = replicas
         self._clients = clients
         self._operator = operator
-        self._quiet_until = 0.0
+        self._faults_suspended_until = 0.0
         self.handlers = FaultHandlers({**self._process_handlers(), **self._link_handlers()})
 
     def _process_handlers(self) -> dict[FaultName, FaultHandler]:
@@ -54,9 +54,9 @@
             FaultName.EMPTY_STORAGE: self._empty_storage,
             FaultName.TWO_EMPTY_STORAGES: self._empty_storages,
             FaultName.OLDER_STORAGE: self._restore_older_storage,
-            # a replica recognizes a copy by its inode, and starts with an empty storage then
+            # a replica recognizes a copy by its inode and then starts with an empty storage
             FaultName.COPIED_STORAGE: self._empty_storage,
-            # a replica exits when its disk takes no more, and restarts with what is stored
+            # a replica exits when its disk is full and restarts with its stored state
             FaultName.FULL_DISK: self.kill,
             FaultName.RESTART_ALL: self._restart_all,
             FaultName.FORCE_RELEASE: self._force_release,
@@ -81,14 +81,14 @@
         }
 
     def inject(self, number: int, fault: Fault) -> None:
-        """Inject a fault, unless its conditions are not met at this time."""
+        """Inject a fault unless the cluster's state forbids it at this time."""
         simulation = self._simulation
         replaces_file = fault.kind in (FaultName.OLDER_STORAGE, FaultName.COPIED_STORAGE)
-        is_quiet = simulation.now < self._quiet_until
-        if is_quiet and not replaces_file and fault.target[0] not in self._clients:
+        faults_suspended = simulation.now < self._faults_suspended_until
+        if faults_suspended and not replaces_file and fault.target[0] not in self._clients:
             return
         if fault.kind in STORAGE_FAULTS and not self._is_quorum_settled():
-            return  # a majority of the storages has to live
+            return  # a majority of the storages must stay intact
         self.counts[fault.kind.value] = self.counts.get(fault.kind.value, 0) + 1
         target = "-".join(fault.target)
         simulation.record_event(
@@ -97,14 +97,14 @@
         self.handlers.inject(number, fault)
 
     def stop(self) -> None:
-        """End all faults, and start all processes that are down."""
+        """End all faults and start all processes that are down."""
         self._network.faults = NetworkFaults()
         for process in (*self._replicas.values(), *self._clients.values()):
             process.paused_until = 0.0
             process.start_if_down()
 
     def _is_quorum_settled(self) -> bool:
-        """Return whether all members of the newest quorum have its epoch and the storages it knows."""
+        """Return whether all members of the newest quorum have its epoch and its recorded storage ids."""
         quorums = [
             replica.disk.quorum for replica in self._replicas.values() if replica.disk and replica.disk.quorum
         ]
@@ -121,7 +121,7 @@
         return self._replicas.get(name) or self._clients[name]
 
     def kill(self, _number: int, fault: Fault) -> None:
-        """Kill a process, and start it when the fault is over."""
+        """Kill a process and restart it when the fault ends."""
         process = self._find_process(fault.target[0])
         process.kill()
         self._simulation.schedule_in(fault.length, process.start_if_down)
@@ -144,14 +144,14 @@
             self._empty_storage(number, replace(fault, target=(name,)))
 
     def _restore_older_storage(self, number: int, fault: Fault) -> None:
-        """Copy the storage of a replica, let it work for a while, and put the copy back.
+        """Copy the storage of a replica, let the replica run for a while, and restore the copy.
 
-        While it works its vote is needed, and few replicas know what was chosen by it; these cannot be
-        reached afterwards.
+        Half of the other replicas are isolated while it runs, so that its vote is needed. The other half,
+        which knows the values chosen by that vote, is isolated after the restore.
         """
         replica = self._replicas[fault.target[0]]
         self._network.faults = NetworkFaults()
-        self._quiet_until = self._simulation.now + OLDER_STORAGE_QUIET_S
+        self._faults_suspended_until = self._simulation.now + OLDER_STORAGE_EXCLUSION_S
         for other in self._replicas.values():
             other.paused_until = 0.0
             other.start_if_down()
@@ -163,18 +163,18 @@
         half = len(others) // 2
         self._isolate_replicas(number, others[:half], OLDER_STORAGE_WORK_S)
 
-        def put_back() -> None:
+        def restore_copy() -> None:
             replica.kill()
             replica.disk = copy
             self._isolate_replicas(-number - 1, others[half:], OLDER_STORAGE_ISOLATION_S)
             replica.start()
 
-        self._simulation.schedule_in(OLDER_STORAGE_WORK_S, put_back)
+        self._simulation.schedule_in(OLDER_STORAGE_WORK_S, restore_copy)
 
     # -- links
 
     def _isolate_replicas(self, number: int, names: list[str], length_s: float) -> None:
-        """Cut some replicas off from all clients; replicas still reach each other."""
+        """Cut the named replicas off from all clients; replicas still reach each other."""
         callers = (*self._clients, self._operator.name)
         pairs = [(caller, name) for caller in callers for name in names]
         self._cut_both_ways(number, pairs, length_s)
@@ -231,7 +231,7 @@
         self._network.faults.reorder(number, fault.target[0], fault.amount)
         self._schedule_end(number, fault.length)
 
-    # -- orders of the operator
+    # -- operator actions
 
     def _swap_replica(self, _number: int, fault: Fault) -> None:
         client = self._operator.client
--- a/rosepick/lab/drill/simulated_lease_client.py
+++ b/rosepick/lab/drill/simulated_lease_client.py
@@ -15,27 +15,30 @@
 from .simulated_network import SimulatedNetwork, SimulatedServer
 from .simulation import SimulatedProcess, Simulation, SimulationConfig
 
-REQUEST_DELAY_TTLS = (0.1, 0.5)  # until a lost or ended lease is requested again
-MAX_HOLDING_TIMES_TTLS = (0.6, 2.0, 20.0)  # one of these bounds how long a lease is held
-NAMED_SUCCESSOR_PROBABILITY = 0.2
-LATE_EFFECT_PROBABILITY = 0.01
+REQUEST_DELAY_TTLS = (
+    0.1,
+    0.5,
+)  # until a lost or ended lease is requested again, in multiples of its time to live
+MAX_HOLDING_TIMES_TTLS = (0.6, 2.0, 20.0)  # upper bounds of holding times, one drawn for each lease
+NAMED_SUCCESSOR_PROBABILITY = 0.2  # that a release names the next holder
+LATE_EFFECT_PROBABILITY = 0.01  # that an effect arrives after the lease may have expired
 LATE_EFFECT_DELAY_TTLS = (1.0, 2.5)
 MAX_EFFECT_DELAY_S = 0.004
 WORK_INTERVAL_JITTER = (0.5, 1.5)
 
 
 class InMemoryTokenStore:
-    """A fencing token store in memory."""
+    """A store of fencing tokens in memory."""
 
     def __init__(self) -> None:
         self._highest_by_task: dict[str, int] = {}
 
     def highest_token(self, task: str) -> int:
-        """Return the highest token accepted for a task, 0 before the first."""
+        """Return the highest token accepted for a task, or 0 if there is none."""
         return self._highest_by_task.get(task, 0)
 
     def save_token(self, task: str, token: int) -> None:
-        """Store a higher token."""
+        """Store the highest token accepted for a task."""
         self._highest_by_task[task] = token
 
 
@@ -47,13 +50,13 @@
         self._guard = FencingGuard(InMemoryTokenStore())
 
     def apply_effect(self, name: str, task: str, token: int, owner: int) -> None:
-        """Record an effect of a process, and whether the guard accepted it."""
+        """Record an effect of the process `name`, and whether the guard accepted it."""
         accepted = self._guard.accepts(task, token)
         self._simulation.record_event(GuardedEffect(name, self._simulation.now, task, token, owner, accepted))
 
 
 class LeaseSimulation(Simulation):
-    """A simulation in which lease clients run: with a network and a guarded resource."""
+    """A simulation with a network and a guarded resource, in which lease clients run."""
 
     def __init__(self, config: SimulationConfig, seed: int) -> None:
         super().__init__(config, seed)
@@ -82,11 +85,11 @@
         self._network.send_request(self._process, self._server, request, self._on_reply)
 
     def close(self) -> None:
-        """Do nothing: there is no state to release."""
+        """Do nothing, as the connection has no state."""
 
 
 class SimulatedLeaseClient(SimulatedProcess):
-    """A process that requests leases, works while it holds them and releases them now and then."""
+    """A process that requests leases, acts on the resource while it holds them, and releases some."""
 
     def __init__(self, simulation: LeaseSimulation, name: str, clock_rate: float, tasks: list[str]) -> None:
         super().__init__(simulation, name, clock_rate)
@@ -96,7 +99,7 @@
         self.lease_holders: dict[str, LeaseHolder] = {}
 
     def start(self) -> None:
-        """Start with a new client of the quorum, and request a lease for each task."""
+        """Start with a new quorum client, and request a lease for each task."""
         super().start()
         simulation = self.lease_simulation
         rng = random.Random(simulation.rng.getrandbits(64))
@@ -117,12 +120,12 @@
         }
 
     def kill(self) -> None:
-        """End it at once; what it had begun is recorded as open."""
+        """End the process at once; its unfinished operations are recorded as open."""
         super().kill()
         self.record_open_operations()
 
     def record_open_operations(self) -> None:
-        """Record the changes that have begun and whose outcome this process will not see."""
+        """Record the unfinished operations, whose outcomes this process will not see."""
         if self.client is not None:
             for operation in self.client.open_operations.values():
                 self.simulation.record_event(operation)
@@ -165,13 +168,13 @@
         rng = simulation.rng
         holder = self.lease_holders[task]
         if holder.may_act():
-            self._act(task, holder)
+            self._apply_effect(task, holder)
         jitter = rng.uniform(*WORK_INTERVAL_JITTER)
         interval_ms = 1000.0 * simulation.config.work_interval_s * jitter
         self.call_after(interval_ms, partial(self._work_step, task))
 
-    def _act(self, task: str, holder: LeaseHolder) -> None:
-        """Apply an effect; a few come so late after the check that only the guard can reject them."""
+    def _apply_effect(self, task: str, holder: LeaseHolder) -> None:
+        """Apply an effect; a few arrive after the lease expired, when only the guard can reject them."""
         simulation = self.lease_simulation
         rng = simulation.rng
         token = holder.lease_client.token
--- a/rosepick/lab/drill/simulated_leases.py
+++ b/rosepick/lab/drill/simulated_leases.py
@@ -1,6 +1,6 @@
 """Fault-injection test of leases on simulated processes.
 
-Acceptors, clients and their drivers are those of the program; network, disks and clocks are simulated.
+Acceptors, clients and their drivers are the production code; network, disks and clocks are simulated.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 from .simulation import SimulationConfig
 
 CLIENTS_START_AT_S = 0.1
-FIRST_FAULT_AT_S = 0.5  # when the time of the plan begins
-OLDER_STORAGE_TIME_S = 6.0  # a plan with this fault needs so much longer
-QUIET_TTLS = 2.0  # after the last fault, in multiples of the lease's time to live
-QUIET_TIME_S = 3.0
+FIRST_FAULT_AT_S = 0.5  # start of the fault plan
+OLDER_STORAGE_TIME_S = 6.0  # extra time for a plan that restores an older storage
+QUIET_TTLS = 2.0  # time without faults before the end, in multiples of the lease's time to live
+QUIET_TIME_S = 3.0  # added to QUIET_TTLS
 TAKEOVER_MARGIN_S = 3.0
-REPLACEMENT_INTERVAL_MS = 700.0  # between two checks for replicas that have lost their storage
+REPLACEMENT_INTERVAL_MS = 700.0  # between checks for replicas that lost their storage
 
 
 class SimulatedCluster(LeaseSimulation):
-    """The replicas, lease clients and operator of a test, and its plan of faults."""
+    """The replicas, lease clients, operator and fault plan of a test."""
 
     def __init__(self, config: SimulationConfig, seed: int, faults: FaultPlan | None = None) -> None:
         super().__init__(config, seed)
         self.tasks = [f"t{number}" for number in range(config.tasks)]
-        # the last replica is a spare, which comes in for another one
+        # the last replica is a spare that can replace another one
         self.replicas = {
             name: SimulatedReplica(self, self.network, name, self._draw_clock_rate())
             for name in (f"w{number}" for number in range(config.replicas + 1))
@@ -47,7 +47,7 @@
         self.plan = faults or self._draw_fault_plan()
 
     def _draw_clock_rate(self) -> float:
-        """Draw a rate: the slowest, the fastest or one between them."""
+        """Draw a clock rate: the slowest, the fastest or one between them."""
         skew = self.config.max_clock_skew
         slowest = 1.0 - skew
         fastest = 1.0 + skew
@@ -66,7 +66,7 @@
     # -- the operator
 
     def _replace_lost_replicas(self) -> None:
-        """Bring a replica that has lost its storage back into the quorum with its new one; repeatedly."""
+        """Replace a member that lost its storage by the same replica with its new storage, periodically."""
         client = self.operator.client
         assert client is not None
         client.poll_status()
@@ -86,21 +86,21 @@
         self.operator.call_after(REPLACEMENT_INTERVAL_MS, self._replace_lost_replicas)
 
     def _bootstrap_quorum(self) -> None:
-        """Start all replicas, and install the first epoch; the last replica is no member of it."""
+        """Start all replicas and install the first epoch, of which the last replica is not a member."""
         members = []
         for replica in self.replicas.values():
             replica.start()
             assert replica.disk is not None
             members.append(QuorumMember(replica.name, replica.disk.storage_id))
         members.pop()
-        quorum = Quorum(self.draw_identity(), 1, tuple(members))
+        quorum = Quorum(self.draw_random_id(), 1, tuple(members))
         for replica in self.replicas.values():
             replica.handle_request(m.InstallEpochRequest(1, quorum, {}), lambda _reply: None)
 
     # -- running
 
     def run(self) -> InvariantReport:
-        """Run the whole test and check its history."""
+        """Run the test and check its history."""
         self._bootstrap_quorum()
         self.schedule(CLIENTS_START_AT_S, None, self._start_clients)
         self._schedule_faults(FIRST_FAULT_AT_S)
@@ -121,7 +121,7 @@
             self.schedule(first_at + fault.at, None, partial(self.fault_injector.inject, number, fault))
 
     def _record_open_operations(self) -> None:
-        """Record what has begun and not ended, as its value may have been read."""
+        """Record unfinished operations, as other clients may have read their values."""
         for process in (self.operator, *self.clients.values()):
             process.record_open_operations()
 
@@ -136,11 +136,11 @@
             client.start()
 
     def _stop_faults(self) -> None:
-        """End all faults for good."""
+        """End all faults that are active."""
         self.fault_injector.stop()
 
     def _check_final_state(self, faults_stopped_at: float) -> list[Violation]:
-        """Check that each task has a holder soon after the last fault."""
+        """Check that each task has a holder within a deadline after the last fault."""
         config = self.config
         deadline_s = (
             config.lease_ttl_s * (1.0 + config.drift) / (1.0 - config.max_clock_skew) + TAKEOVER_MARGIN_S
--- a/rosepick/lab/drill/simulated_member.py
+++ b/rosepick/lab/drill/simulated_member.py
@@ -1,4 +1,4 @@
-"""A simulated router or cache node, as its agent and the clients see it."""
+"""A simulated router or cache node, with the status that its agent and the clients observe."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 from .simulated_lease_client import InMemoryTokenStore
 from .simulation import Simulation
 
-INITIAL_STARTS_UNTIL_S = 1.0  # starts before it succeed at once, and warm
-SHUTDOWN_TIME_S = (0.2, 1.2)  # until a member that was told to stop has ended
-START_TIME_S = (0.2, 0.8)  # until a member serves
-WARM_UP_TIME_S = (0.5, 2.5)  # until a cache node is warm, after the longest start
+INITIAL_STARTS_UNTIL_S = 1.0  # starts before this time succeed at once, with warm caches
+SHUTDOWN_TIME_S = (0.2, 1.2)  # from a stop signal until the process exits
+START_TIME_S = (0.2, 0.8)  # from the start of a process until it serves
+WARM_UP_TIME_S = (0.5, 2.5)  # until a cache node is warm, added to the longest start time
 START_FAILURE_PROBABILITY = 0.15
-IDLE_AFTER_S = 1.0  # a draining member has no requests any more
-SERVED_PER_REPORT = 10.0
+IDLE_AFTER_S = 1.0  # a draining member has no requests in flight after this time
+SERVED_PER_REPORT = 10.0  # requests
 
 
 class SimulatedMember:
-    """A member's process. It lives on when its agent dies.
+    """A member's process, which keeps running when its agent dies.
 
-    `free` tells that the disruption budget does not apply to it, since it was ordered out at once.
+    `exempt_from_budget` means that the disruption budget does not apply, since an operator requested an
+    immediate drain.
     """
 
     def __init__(self, simulation: Simulation, name: str, kind: MemberKind, zone: str) -> None:
@@ -39,27 +40,29 @@
         self.draining = False
         self.ending = False
         self.warm = True
-        self.free = False
-        self.phase_started_at = 0.0  # when it last began or ended draining
-        self._reported_up: bool | None = None
+        self.exempt_from_budget = False
+        self.draining_changed_at = 0.0  # when draining last started or ended
+        self._recorded_up: bool | None = None
 
     @property
     def is_serving(self) -> bool:
-        """Whether it takes new requests, warm or not."""
+        """Whether the member accepts new requests, warm or not."""
         return self.running and self.serving and not self.draining and not self.ending
 
     def record_availability(self, cause: str) -> None:
-        """Record that it went out of service or came back, if it did."""
+        """Record an event if the member went out of service or came back, with its cause."""
         up = self.is_serving and self.warm
-        if up != self._reported_up or (not up and cause == "program"):
-            self._reported_up = up
+        if up != self._recorded_up or (not up and cause == "program"):
+            self._recorded_up = up
             kind = "routers" if self.kind is MemberKind.ROUTER else "caches"
             self.simulation.record_event(
-                AvailabilityChanged(self.name, self.simulation.now, kind, self.zone, up, cause, self.free)
+                AvailabilityChanged(
+                    self.name, self.simulation.now, kind, self.zone, up, cause, self.exempt_from_budget
+                )
             )
 
     def start(self) -> None:
-        """Start it unless it runs; some starts fail."""
+        """Start the member unless it is running; some starts fail."""
         if self.running:
             return
         simulation = self.simulation
@@ -91,7 +94,7 @@
             self.record_availability("")
 
     def stop(self) -> None:
-        """Have it shut down, as by SIGTERM."""
+        """Start a graceful shutdown, as SIGTERM does."""
         if self.running and not self.ending:
             self.ending = True
             self.record_availability("program")
@@ -108,20 +111,20 @@
             self.record_availability(cause)
 
     def crash(self) -> None:
-        """End it at once, by a fault."""
+        """End the process at once, as an injected fault."""
         if self.running:
             self._exit(self.incarnation, "fault")
 
     def set_draining(self, draining: bool) -> None:
-        """Begin or end draining."""
+        """Start or end draining."""
         if self.running and self.draining is not draining:
             self.draining = draining
-            self.phase_started_at = self.simulation.now
+            self.draining_changed_at = self.simulation.now
             self.record_availability("program" if draining else "")
 
 
 class MemberObserver:
-    """A member as its agent sees and controls it."""
+    """Reads the status of a member and controls it, for its agent."""
 
     def __init__(self, member: SimulatedMember) -> None:
         self._member = member
@@ -129,7 +132,7 @@
     def read_status(self) -> MemberStatus:
         """Return the member's status."""
         member = self._member
-        idle = member.draining and member.simulation.now - member.phase_started_at > IDLE_AFTER_S
+        idle = member.draining and member.simulation.now - member.draining_changed_at > IDLE_AFTER_S
         return MemberStatus(
             member.running, member.is_serving, member.draining, member.ending, idle, member.warm
         )
@@ -151,13 +154,13 @@
 
 
 class InMemoryAgentState:
-    """The state of an agent in memory, which outlives its starts."""
+    """The stored state of an agent, in memory; it survives restarts of the agent."""
 
     def __init__(self) -> None:
         self.tokens = InMemoryTokenStore()
         self._phase_and_permit = (0, 0)
         self._values: dict[str, object] = {}
-        self.refusals = 0  # active faults by which it takes no writes
+        self.active_write_faults = 0  # active faults that make writes fail
 
     def load(self) -> tuple[int, int]:
         """Return the stored phase and permit."""
@@ -173,7 +176,7 @@
         self._phase_and_permit = phase, permit
 
     def get(self, name: str) -> object:
-        """Return the value stored under a name, None if there is none."""
+        """Return the value stored under a name, or None."""
         return self._values.get(name)
 
     def put(self, **values: object) -> None:
@@ -186,5 +189,5 @@
         self._values |= values
 
     def _check_writable(self) -> None:
-        if self.refusals:
+        if self.active_write_faults:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
--- a/rosepick/lab/drill/simulated_network.py
+++ b/rosepick/lab/drill/simulated_network.py
@@ -1,4 +1,4 @@
-"""The simulated network between processes and replicas, and the faults that can be in force on it."""
+"""The simulated network between processes and replicas, and the faults that can affect it."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from ...consensus import messages as m
 from .simulation import SimulatedProcess, Simulation
 
-MAX_REORDER_DELAY_TTLS = 0.6  # in multiples of the lease's time to live
+MAX_REORDER_DELAY_TTLS = 0.6  # extra delay of a reordered message, in multiples of the lease's time to live
 
 
 class SimulatedServer(SimulatedProcess, ABC):
-    """A process that receives requests of the quorum."""
+    """A process that receives requests of the quorum protocol."""
 
     @abstractmethod
-    def handle_request(self, request: m.QuorumRequest, reply: Callable[[m.QuorumReply], None]) -> None:
-        """Handle a request, and call `reply` when the reply may leave the process."""
+    def handle_request(self, request: m.QuorumRequest, send_reply: Callable[[m.QuorumReply], None]) -> None:
+        """Handle a request, and call `send_reply` when the reply may leave the process."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _MessageFault:
-    """A fault of all messages from and to a process, with its probability for each."""
+    """A fault that affects each message from or to a process with a probability."""
 
     process: str
     probability: float
@@ -36,16 +36,18 @@
 
 @dataclass(slots=True)
 class NetworkFaults:
-    """The faults in force, by their numbers in the plan."""
+    """The active faults, keyed by their index in the fault plan."""
 
-    cuts: dict[int, frozenset[tuple[str, str]]] = field(default_factory=dict)  # pairs of source and target
+    cuts: dict[int, frozenset[tuple[str, str]]] = field(
+        default_factory=dict
+    )  # values are pairs of source and target
     delays: dict[int, _LinkDelay] = field(default_factory=dict)
     losses: dict[int, _MessageFault] = field(default_factory=dict)
     duplicates: dict[int, _MessageFault] = field(default_factory=dict)
     reorderings: dict[int, _MessageFault] = field(default_factory=dict)
 
     def cut(self, number: int, pairs: Iterable[tuple[str, str]]) -> None:
-        """Lose all messages from the first to the second of each pair."""
+        """Lose all messages from the first to the second process of each pair."""
         self.cuts[number] = frozenset(pairs)
 
     def delay(self, number: int, ends: Iterable[str], delay_s: float) -> None:
@@ -61,17 +63,17 @@
         self.duplicates[number] = _MessageFault(process, probability)
 
     def reorder(self, number: int, process: str, probability: float) -> None:
-        """Deliver some messages from and to a process late, after later ones."""
+        """Deliver some messages from and to a process late, after messages sent later."""
         self.reorderings[number] = _MessageFault(process, probability)
 
     def remove(self, number: int) -> None:
-        """End a fault, if it is in force."""
+        """End a fault if it is active."""
         for table in (self.cuts, self.delays, self.losses, self.duplicates, self.reorderings):
             table.pop(number, None)
 
 
 class SimulatedNetwork:
-    """Delivers requests and replies, subject to delays and faults."""
+    """Delivers requests and replies, with delays and faults."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.faults = NetworkFaults()
@@ -85,7 +87,7 @@
         request: m.QuorumRequest,
         on_reply: Callable[[str, m.QuorumReply], None],
     ) -> None:
-        """Send a request; `on_reply` gets the server's name and its reply, if the source still lives then."""
+        """Send a request; `on_reply` gets the server's name and reply unless the source was killed before."""
         incarnation = source.incarnation
 
         def send_reply(reply: m.QuorumReply) -> None:
@@ -114,7 +116,7 @@
             return
         if faults.delays:
             link = frozenset(ends)
-            delay_s += sum(slow.delay_s for slow in faults.delays.values() if slow.ends == link)
+            delay_s += sum(delay.delay_s for delay in faults.delays.values() if delay.ends == link)
         if self._draws_any(faults.reorderings, ends):
             delay_s += rng.uniform(0.0, MAX_REORDER_DELAY_TTLS * ttl_s)
         simulation.schedule(simulation.now + delay_s, target, on_arrival)
@@ -123,6 +125,6 @@
             simulation.schedule(simulation.now + delay_s + second_delay_s, target, on_arrival)
 
     def _draws_any(self, faults: Mapping[int, _MessageFault], ends: tuple[str, str]) -> bool:
-        """Draw for each fault of a message whether it occurs, until one does."""
+        """Return whether any fault affects a message; draw for each in turn until one does."""
         rng = self._simulation.rng
         return any(fault.process in ends and rng.random() < fault.probability for fault in faults.values())
--- a/rosepick/lab/drill/simulated_releases.py
+++ b/rosepick/lab/drill/simulated_releases.py
@@ -1,7 +1,7 @@
 """Simulated fault-injection tests of releases.
 
-Drivers and state machines of the agents are those of the program. Versions are good or have some kind of
-fault; an operator starts, pauses, resumes and rolls back rollouts.
+Drivers and state machines of the agents are the production code. Versions are good or have a fault of some
+kind; an operator starts, pauses, resumes and rolls back rollouts.
 """
 
 from __future__ import annotations
@@ -57,16 +57,16 @@
     min_baseline_intervals=6,
 )
 DEPLOY_POLICY = DeployPolicy(min_healthy_ms=2_400.0, probation_ms=9_000.0, retry_interval_ms=2_000.0)
-POLL_INTERVAL_S = 0.25  # between two reads of the rollout's record
-# how long a member may run what the record has ceased to permit: the age of what its agent has read, the time
-# of a reply, a member's start, and a slow clock with the time between two reads of this test
+POLL_INTERVAL_S = 0.25  # between two reads of the rollout record
+# How long after the record stops permitting a version a member may still start it: the age of the agent's
+# last read, the time of a reply, the member's start, and a slow clock plus the time between two reads here.
 PERMISSION_GRACE_S = 2.0 + 1.5 + 1.6 + 2.0
 READ_TIMEOUT_MS = 1_000.0
 CHANGE_TIMEOUT_MS = 2_000.0
 INITIAL_STARTS_END_S = 1.0
 PREPARE_TIME_S = 0.4  # until an artifact is available on a host
 PREPARE_FAILURE_PROBABILITY = 0.05
-# what a router reports, by the kind of its fault
+# Figures that routers report; the kind of a version's fault changes some of them.
 MEAN_REQUESTS_PER_REPORT = 12.0
 CPU_S_PER_REQUEST = 0.002
 SLOW_CPU_FACTOR = 1.5
@@ -76,7 +76,7 @@
 
 
 class SimulatedVersionedMember(SimulatedMember):
-    """A member with a version. Rollouts are for routers; other members keep the version that they have."""
+    """A member that runs a version; rollouts change only the versions of routers."""
 
     def __init__(self, cluster: SimulatedReleaseCluster, name: str, kind: MemberKind, zone: str) -> None:
         super().__init__(cluster, name, kind, zone)
@@ -85,7 +85,7 @@
         self.exit_count = 0
 
     def start(self) -> None:
-        """Start the active version, which may end soon if it has a fault."""
+        """Start the active version, which may exit soon if it has a fault."""
         if self.running:
             return
         deployer = None if self.agent is None else self.agent.deployer
@@ -117,7 +117,7 @@
 
 
 class RouterObserver(MemberObserver):
-    """Observes a router; what it reports depends on the version that runs."""
+    """Observes a router; its reports depend on the running version."""
 
     def __init__(self, member: SimulatedVersionedMember, deployer: Deployer) -> None:
         super().__init__(member)
@@ -125,13 +125,13 @@
         self._deployer = deployer
 
     def read_status(self) -> MemberStatus:
-        """Return the status of the router, with its build and the number of its exits."""
+        """Return the status of the router, with the check of its build and the number of its exits."""
         router = self._router
         runs_wrong_build = router.running and router.version != self._deployer.active_digests[BUILD]
         return replace(super().read_status(), runs_wrong_build=runs_wrong_build, exit_count=router.exit_count)
 
     def make_report(self, run_id: int, sequence: int) -> HealthReport:
-        """Return a health report with random figures, which show the fault of the version."""
+        """Return a health report with random figures that reflect the fault of the version."""
         router = self._router
         rng = router.simulation.rng
         serving = self.read_status().serving
@@ -141,7 +141,7 @@
         cpu_factor = SLOW_CPU_FACTOR if fault_kind == VersionFault.SLOW else 1.0
         cpu_s = requests * CPU_S_PER_REQUEST * rng.uniform(0.85, 1.15) * cpu_factor
         leak_s = (
-            router.simulation.now - router.phase_started_at
+            router.simulation.now - router.draining_changed_at
             if fault_kind == VersionFault.LEAKS_MEMORY
             else 0.0
         )
@@ -171,7 +171,7 @@
 
 
 class InMemoryArtifactStore:
-    """The artifacts of a host: each is available after a while, and some attempts to get it fail."""
+    """The artifacts of a host: each becomes available after a delay, and some fetches fail."""
 
     def __init__(self, member: SimulatedVersionedMember) -> None:
         self._member = member
@@ -179,7 +179,7 @@
         self._available: set[str] = set()
 
     def prepare(self, _kind: str, artifact: Artifact) -> ArtifactStatus:
-        """Begin to get an artifact, or return how far that is."""
+        """Start to fetch an artifact, or return the status of the fetch."""
         simulation = self._member.simulation
         requested_at = self._requested_at.setdefault(artifact.digest, simulation.now)
         if artifact.digest in self._available:
@@ -193,10 +193,10 @@
         return ArtifactStatus(True)
 
     def apply_settings(self, kind: str, digest: str) -> None:
-        """Do nothing, as there are no rollouts of settings here."""
+        """Do nothing, as this test has no rollouts of settings."""
 
     def remove_except(self, needed: Iterable[str]) -> None:
-        """Remove all artifacts but some."""
+        """Remove all artifacts except those with the digests in `needed`."""
         self._available &= set(needed)
 
 
@@ -213,7 +213,7 @@
         member.agent = self
         return member
 
-    def _create_observer(self, machine: Agent) -> tuple[MemberObserver, RolloutPolicy | None]:
+    def _create_observer(self, agent: Agent) -> tuple[MemberObserver, RolloutPolicy | None]:
         member = self.member
         assert isinstance(member, SimulatedVersionedMember)
         if member.kind is not MemberKind.ROUTER:
@@ -221,12 +221,12 @@
         self.deployer = Deployer(
             self.name, self.disk, InMemoryArtifactStore(member), DEPLOY_POLICY, {BUILD: INITIAL_VERSION}
         )
-        machine.deployer = self.deployer
+        agent.deployer = self.deployer
         return RouterObserver(member, self.deployer), ROLLOUT_POLICY
 
 
 class SimulatedReleaseCluster(SimulatedDrainCluster):
-    """A cluster whose routers get new versions, one rollout after the other."""
+    """A cluster whose routers get new versions in successive rollouts."""
 
     budget = BUDGET
     rejoin_deadline_s = 150.0
@@ -237,8 +237,8 @@
         self._last_record: RolloutState | None = None
         self.decisions: Counter[str] = Counter()
 
-    def _create_client(self, name: str, rate: float) -> SimulatedAgent:
-        return SimulatedDeployingAgent(self, name, rate)
+    def _create_client(self, name: str, clock_rate: float) -> SimulatedAgent:
+        return SimulatedDeployingAgent(self, name, clock_rate)
 
     @property
     def routers(self) -> Mapping[str, SimulatedAgent]:
@@ -252,7 +252,7 @@
         self._poll_release_record()
 
     def _poll_release_record(self) -> None:
-        """Read the rollout's record again and again, and record what it permits."""
+        """Read the rollout record periodically, and add an event to the history for each change."""
         client = self.operator.client
         read_started_at = self.now
         assert client is not None
@@ -279,10 +279,10 @@
         )
 
     def _issue_random_order(self) -> None:
-        """Issue an order about the rollout or about drains, at random."""
+        """Issue a random order that concerns the rollout or drains."""
         if self.faults_stopped:
             return
-        rng = self.orders
+        rng = self.order_rng
         record = self._last_record
         now = self.now
         draw = rng.random()
@@ -296,7 +296,7 @@
         elif draw < 0.045:
             self._send_release_change(rollout_state.pause_rollout("operator", "drill", now))
         elif draw < 0.3 and record.open_rollout.pause is not None:
-            # an operator who is asked to decide knows whether the version has a fault
+            # when the rollout awaits an operator, the decision is the right one for the version
             rolls_back = record.open_rollout.awaits_operator and has_fault(record.open_rollout.new.name)
             self._end_pause(rolls_back, "drill")
         elif draw < 0.4:
@@ -308,7 +308,7 @@
         self._send_release_change(change("operator", reason, self.now))
 
     def _order_random_drain(self) -> None:
-        rng = self.orders
+        rng = self.order_rng
         now = self.now
         names = rng.sample(list(self.agents), rng.choice((1, 2)))
         draw = rng.random()
@@ -325,31 +325,33 @@
             self._resume_drains()
 
     def _start_release(self, record: RolloutState | None) -> None:
-        """Start a rollout of a new version once all routers are members of the fleet."""
+        """Start a rollout of a new version if all routers are members of the fleet."""
         drivers = (agent.driver for agent in self.routers.values())
         state = next((driver.agent.fleet_state for driver in drivers if driver), None)
         if self.operator.client is None or state is None:
             return
         if len(state.members_of(MemberKind.ROUTER)) < len(self.routers):
             return
-        old = (record and record.baseline.get(BUILD)) or artifact_named(INITIAL_VERSION)
-        fault_kind = self.orders.choice([GOOD_VERSION, GOOD_VERSION, *WAVES_TO_DETECT])
+        old_artifact = (record and record.baseline.get(BUILD)) or artifact_named(INITIAL_VERSION)
+        fault_kind = self.order_rng.choice([GOOD_VERSION, GOOD_VERSION, *WAVES_TO_DETECT])
         version = f"{fault_kind}-{len(self.versions)}"
         self.versions.append(version)
-        new = artifact_named(version)
+        new_artifact = artifact_named(version)
         waves = rollout_state.plan_waves(state, WAVES)
         self._send_release_change(
-            rollout_state.start_rollout(BUILD, new, old, waves, "operator", "drill", self.now)
+            rollout_state.start_rollout(
+                BUILD, new_artifact, old_artifact, waves, "operator", "drill", self.now
+            )
         )
 
-    # -- the end
+    # -- running and final checks
 
     def _stop_faults(self) -> None:
         super()._stop_faults()
         self._finish_release()
 
     def _finish_release(self) -> None:
-        """Bring an open rollout to its end, forward or back: end pauses and halts until it is over."""
+        """Complete or roll back an open rollout: end pauses and halts periodically until none is open."""
         record = self._last_record
         rollout = None if record is None else record.open_rollout
         if record is not None and rollout is None:
@@ -361,7 +363,7 @@
         self.operator.call_after(3_000.0, self._finish_release)
 
     def run(self) -> InvariantReport:
-        """Run the test, and check the invariants of releases, too."""
+        """Run the test and check its history, also for the invariants of releases."""
         report = super().run()
         routers = list(self.routers)
         max_members = {
@@ -380,5 +382,5 @@
 
 
 def run_drill(config: SimulationConfig, seed: int) -> InvariantReport:
-    """Run the test that a seed determines."""
+    """Run the test with one seed."""
     return SimulatedReleaseCluster(config, seed).run()
--- a/rosepick/lab/drill/simulated_replica.py
+++ b/rosepick/lab/drill/simulated_replica.py
@@ -1,4 +1,4 @@
-"""A simulated replica of the quorum, with a disk that keeps its state when it is killed."""
+"""A simulated replica of the quorum, whose disk keeps its state across kills."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
 
 class SimulatedReplica(SimulatedServer):
-    """An acceptor that is driven as `coordination.acceptor_server` does it."""
+    """Runs an acceptor in the way of `coordination.acceptor_server`, on a simulated network and disk."""
 
     def __init__(
         self, simulation: Simulation, network: SimulatedNetwork, name: str, clock_rate: float
     ) -> None:
         super().__init__(simulation, name, clock_rate)
-        self.disk: AcceptorState | None = None  # what the next start will find
+        self.disk: AcceptorState | None = None  # the state that the next start loads; None for an empty disk
         self.acceptor: Acceptor | None = None
         self._network = network
         self._last_request_number = 0
         self._started_at_ms = 0.0
-        self._disk_busy_until = 0.0  # when everything given to the disk so far will be stored
+        self._disk_busy_until = 0.0  # time at which all writes so far are stored
 
     def start(self) -> None:
-        """Start with what is on the disk, or with an empty state."""
+        """Start with the state on the disk, or with an empty one."""
         super().start()
-        disk = self.disk or AcceptorState(self.simulation.draw_identity(), start_count=0)
+        disk = self.disk or AcceptorState(self.simulation.draw_random_id(), start_count=0)
         disk.start_count += 1
         self.disk = disk
-        self.acceptor = Acceptor(self.name, deepcopy(disk), self.simulation.draw_identity())
+        self.acceptor = Acceptor(self.name, deepcopy(disk), self.simulation.draw_random_id())
         self._started_at_ms = self.now()
         self._send_restart_check()
         self.call_after(RESTART_CHECK_GRACE_MS, self._end_grace_period)
@@ -80,24 +80,24 @@
         self.disk = None
         self.start()
 
-    def handle_request(self, request: m.QuorumRequest, reply: Callable[[m.QuorumReply], None]) -> None:
-        """Handle a request; the reply leaves when all that it rests on is stored, and in order."""
+    def handle_request(self, request: m.QuorumRequest, send_reply: Callable[[m.QuorumReply], None]) -> None:
+        """Handle a request; replies are sent in order, each once the state it depends on is stored."""
         assert self.acceptor is not None
-        answer, changes = self.acceptor.handle(request)
+        reply, changes = self.acceptor.handle(request)
         simulation = self.simulation
         if changes:
-            answer = deepcopy(answer) if isinstance(answer, m.SealEpochReply) else answer
+            reply = deepcopy(reply) if isinstance(reply, m.SealEpochReply) else reply
             write_time_s = simulation.rng.uniform(*DISK_WRITE_TIME_S)
             self._disk_busy_until = max(self._disk_busy_until, simulation.now) + write_time_s
         stored_at = max(self._disk_busy_until, simulation.now)
-        simulation.schedule(stored_at, self, partial(self._persist_and_reply, changes, answer, reply))
+        simulation.schedule(stored_at, self, partial(self._persist_and_reply, changes, reply, send_reply))
 
     def _persist_and_reply(
-        self, changes: StateChanges, answer: m.QuorumReply, reply: Callable[[m.QuorumReply], None]
+        self, changes: StateChanges, reply: m.QuorumReply, send_reply: Callable[[m.QuorumReply], None]
     ) -> None:
         if changes:
             self._persist(changes)
-        reply(answer)
+        send_reply(reply)
 
     def _persist(self, changes: StateChanges) -> None:
         assert self.disk is not None
--- a/rosepick/lab/drill/simulation.py
+++ b/rosepick/lab/drill/simulation.py
@@ -1,6 +1,6 @@
-"""Discrete-event simulation of processes, each with a clock that runs at its own rate.
+"""Discrete-event simulation of processes whose clocks run at different rates.
 
-Everything is drawn from one random number generator, so a seed determines the whole history.
+All random choices come from one generator, so a seed determines the whole history.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
 from ...net.event_loop import ScheduledCall
 from .history import AnyEvent
 
-MAX_CLOCK_OFFSET_MS = 1e7  # of a process's clock at the begin
+MAX_CLOCK_OFFSET_MS = 1e7  # largest initial reading of a process's clock
 
 
 @dataclass(frozen=True, slots=True)
 class SimulationConfig:
-    """The shape of a simulated test; times in seconds.
+    """The size of a simulated test, its delays and its rates; times in seconds.
 
-    Clocks run faster or slower by up to `max_clock_skew`, a fraction; leases allow for a `drift` of so much.
+    Clocks run faster or slower by up to `max_clock_skew`, a fraction; leases allow for a clock drift of
+    `drift`, also a fraction. Empty `fault_kinds` allow all kinds of faults.
     """
 
     replicas: int = 5
@@ -35,11 +36,11 @@
     fault_interval_s: float = 0.45
     work_interval_s: float = 0.06
     network_delay_s: tuple[float, float] = (0.0004, 0.004)
-    fault_kinds: tuple[str, ...] = ()  # all, if none is named
+    fault_kinds: tuple[str, ...] = ()
 
 
 class _QueuedCall(NamedTuple):
-    """A call of the event queue; of equal times, the one that was scheduled first comes first."""
+    """A call in the event queue; calls with equal times run in the order in which they were scheduled."""
 
     at: float
     sequence_number: int
@@ -49,7 +50,7 @@
 
 
 class Simulation:
-    """The event queue, the clock (seconds), the random numbers and the history of a simulated test."""
+    """The event queue, clock (in seconds), random number generator and history of a simulated test."""
 
     def __init__(self, config: SimulationConfig, seed: int) -> None:
         self.config = config
@@ -60,8 +61,8 @@
         self._queue: list[_QueuedCall] = []
         self._last_sequence_number = 0
 
-    def draw_identity(self) -> str:
-        """Draw a random identity."""
+    def draw_random_id(self) -> str:
+        """Draw a random id: 16 hexadecimal digits."""
         return f"{self.rng.getrandbits(64):016x}"
 
     def record_event(self, event: AnyEvent) -> None:
@@ -69,7 +70,10 @@
         self.events.append(event)
 
     def schedule(self, at: float, process: SimulatedProcess | None, callback: Callable[[], None]) -> None:
-        """Call at a time, unless the process has been killed by then, or wait until its pause ends."""
+        """Schedule a call at a time in seconds.
+
+        The call is dropped if the process was killed by then, and delayed while the process is paused.
+        """
         self._last_sequence_number += 1
         incarnation = process.incarnation if process is not None else 0
         heapq.heappush(
@@ -77,11 +81,11 @@
         )
 
     def schedule_in(self, delay_s: float, callback: Callable[[], None]) -> None:
-        """Call after so many seconds, whatever happens to processes."""
+        """Schedule a call after `delay_s` seconds that no kill or pause of a process affects."""
         self.schedule(self.now + delay_s, None, callback)
 
     def run_until(self, end_time: float) -> None:
-        """Process the event queue until a time."""
+        """Run the calls of the event queue up to a time in seconds."""
         while self._queue and self._queue[0].at <= end_time:
             call = heapq.heappop(self._queue)
             self.now = call.at
@@ -96,30 +100,30 @@
 
 
 class SimulatedProcess:
-    """A process that can be started, killed and paused, with its own clock in milliseconds."""
+    """A process with its own clock in milliseconds that can be started, killed and paused."""
 
     def __init__(self, simulation: Simulation, name: str, clock_rate: float) -> None:
         self.simulation = simulation
         self.name = name
         self.clock_rate = clock_rate
-        self.incarnation = 0  # changes with each start and end; calls for an earlier one are dropped
+        self.incarnation = 0  # changes at each start and end; drops calls scheduled before
         self.running = False
         self.paused_until = 0.0
         self._clock_offset_ms = simulation.rng.uniform(0.0, MAX_CLOCK_OFFSET_MS)
 
     def now(self) -> float:
-        """Return the time of its own clock in milliseconds."""
+        """Return the time of the process's own clock in milliseconds."""
         return self._clock_offset_ms + self.simulation.now * 1000.0 * self.clock_rate
 
     def call_at(self, when: float, callback: Callable[[], None]) -> ScheduledCall:
-        """Schedule a call at a time of its own clock, in milliseconds."""
+        """Schedule a call at a time of the process's own clock, in milliseconds."""
         timer = ScheduledCall(callback)
         at = self.simulation.now + max(0.0, when - self.now()) / (1000.0 * self.clock_rate)
         self.simulation.schedule(at, self, partial(self._fire_timer, timer))
         return timer
 
     def call_after(self, delay: float, call: Callable[[], None]) -> ScheduledCall:
-        """Schedule a call after so many milliseconds of its own clock."""
+        """Schedule a call after `delay` milliseconds of the process's own clock."""
         return self.call_at(self.now() + delay, call)
 
     @staticmethod
@@ -134,11 +138,11 @@
         self.paused_until = 0.0
 
     def start_if_down(self) -> None:
-        """Start it unless it runs."""
+        """Start the process unless it is running."""
         if not self.running:
             self.start()
 
     def kill(self) -> None:
-        """End it at once; its pending calls are dropped."""
+        """End the process at once and drop its pending calls."""
         self.incarnation += 1
         self.running = False
--- a/rosepick/lab/drill/storage_fault_injector.py
+++ b/rosepick/lab/drill/storage_fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects faults into the storages of real replicas, and checks that they are noticed."""
+"""Injects faults into the storages of real replicas, and checks that the replicas detect them."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from .process_cluster import ProcessCluster
 from .processes import copy_storage, empty_storage, restore_storage
 
-RESTART_ANNOUNCE_S = 2.2  # until a start is known to the other replicas, which check each second
-OLDER_STORAGE_ISOLATION_S = 3.0  # how long replicas that saw later votes cannot be reached
-OLDER_STORAGE_TIME_MS = 4_000.0  # until other faults of replicas and links go on
+RESTART_ANNOUNCE_S = 2.2  # until the other replicas, which check each second, know of a start
+OLDER_STORAGE_ISOLATION_S = 3.0  # how long replicas that saw later votes are unreachable
+OLDER_STORAGE_TIME_MS = 4_000.0  # until other faults of replicas and links continue
 VOTING_POLL_INTERVAL_MS = 100.0
 MAX_VOTING_POLLS = 100
-MIN_FULL_DISK_S = 0.5
+MIN_FULL_DISK_S = 0.5  # minimum time between filling a disk and checking for the exit
 FULL_DISK_EXIT_STATUS = 3
 
 
 class StorageFaultInjector:
     """Empties, copies, restores and fills the storages of replicas.
 
-    `replica` is the one whose older storage is being put back, during which no other faults of replicas and
-    links may be injected.
+    `replica` is the name of the replica whose older storage is being restored, or None. Until the restore
+    ends, no other faults of replicas and links may be injected.
     """
 
     def __init__(self, cluster: ProcessCluster, links: LinkFaultInjector) -> None:
@@ -36,7 +36,7 @@
         self._expected_log_lines: list[Callable[[], Violation | None]] = []
 
     def handlers(self) -> dict[FaultName, FaultHandler]:
-        """Return the handlers of all faults of storages."""
+        """Return the handlers of all storage faults."""
         return {
             FaultName.EMPTY_STORAGE: self._empty,
             FaultName.TWO_EMPTY_STORAGES: self._empty_two,
@@ -46,9 +46,9 @@
         }
 
     def check_log_lines(self) -> list[Violation]:
-        """Return a violation for each fault that a replica should have logged and has not."""
-        outcomes = [check() for check in self._expected_log_lines]
-        return [violation for violation in outcomes if violation is not None]
+        """Return a violation for each fault that a replica did not log as required."""
+        results = [check() for check in self._expected_log_lines]
+        return [violation for violation in results if violation is not None]
 
     def _empty(self, _number: int, fault: Fault) -> None:
         name = fault.target[0]
@@ -62,7 +62,7 @@
             self._empty(number, replace(fault, target=(name,)))
 
     def _replace_by_copy(self, _number: int, fault: Fault) -> None:
-        """Put a copy in the place of the storage, which is another file then."""
+        """Replace the storage by a copy, which is a different file."""
         name = fault.target[0]
         process = self._cluster.processes[name]
         folder = self._cluster.folder / f"{name}.d"
@@ -72,14 +72,14 @@
         restore_storage(copy, folder, in_place=False)
         self._cluster.loop.call_after(1000.0 * fault.length, process.start)
         self._expect_log_line(
-            name, "replica_storage_copied", "a copied folder was taken for the witness's own"
+            name, "replica_storage_copied", "a copied folder was accepted as the replica's own"
         )
 
     def _restore_older(self, _number: int, fault: Fault) -> None:
-        """Put an older copy back into the very file, after a start that the other replicas know of.
+        """Restore an older copy into the same file, after a start that the other replicas know of.
 
-        While the replica works its vote is needed, and few replicas know what was chosen by it; these cannot
-        be reached afterwards.
+        Half of the other replicas are isolated while it runs, so that its vote is needed. The other half,
+        which knows the values chosen by that vote, is isolated after the restore.
         """
         cluster = self._cluster
         name = fault.target[0]
@@ -99,24 +99,26 @@
         half = len(others) // 2
         self._links.isolate_replicas(others[:half], RESTART_ANNOUNCE_S)
 
-        def put_back() -> None:
+        def restore_copy() -> None:
             process.kill()
             restore_storage(copy, folder, in_place=True)
             self._links.isolate_replicas(others[half:], OLDER_STORAGE_ISOLATION_S)
             process.start()
             self._expect_log_line(
-                name, "replica_storage_outdated", "an older copy of a folder was taken for the witness's own"
+                name,
+                "replica_storage_outdated",
+                "an older copy of a folder was accepted as the replica's own",
             )
-            cluster.loop.call_after(OLDER_STORAGE_TIME_MS, self._finish)
+            cluster.loop.call_after(OLDER_STORAGE_TIME_MS, self._finish_restore)
 
         log_offset = process.log_path.stat().st_size
         has_voted = partial(cluster.has_logged, name, "replica_voting", log_offset)
-        self._run_once_announced(has_voted, put_back)
+        self._run_once_announced(has_voted, restore_copy)
 
     def _run_once_announced(
         self, has_voted: Callable[[], bool], callback: Callable[[], None], polls_left: int = MAX_VOTING_POLLS
     ) -> None:
-        """Call once a replica votes, and a little later, so that all others know of its start."""
+        """Call `callback` after a replica votes and all other replicas have learned of its start."""
         loop = self._cluster.loop
         if has_voted():
             loop.call_after(1000.0 * RESTART_ANNOUNCE_S, callback)
@@ -124,13 +126,13 @@
             poll_again = partial(self._run_once_announced, has_voted, callback, polls_left - 1)
             loop.call_after(VOTING_POLL_INTERVAL_MS, poll_again)
         else:
-            self._finish()
+            self._finish_restore()
 
-    def _finish(self) -> None:
+    def _finish_restore(self) -> None:
         self.replica = None
 
     def _expect_log_line(self, name: str, event: str, violation: str) -> None:
-        """Require that an event is logged between now and the end of the test."""
+        """Require that a process logs an event between now and the end of the test."""
         offset = self._cluster.processes[name].log_path.stat().st_size
 
         def check() -> Violation | None:
@@ -141,7 +143,7 @@
         self._expected_log_lines.append(check)
 
     def _fill_disk(self, _number: int, fault: Fault) -> None:
-        """Let the files of a replica take nothing more: it has to exit without another reply."""
+        """Make the file writes of a replica fail; it must exit without another reply."""
         process = self._cluster.processes[fault.target[0]]
         counts = self._cluster.counts
         if not process.running:
@@ -151,7 +153,7 @@
 
         def check_and_restart() -> None:
             if process.running:
-                process.kill()  # it has written nothing since: paused, or cut off
+                process.kill()  # it has written nothing since, as it was paused or cut off
                 counts["full disks unnoticed"] += 1
             elif process.exit_statuses[exits_before:] and process.exit_statuses[-1] == FULL_DISK_EXIT_STATUS:
                 counts["full disks noticed"] += 1
--- a/rosepick/lab/drill/strict_model.py
+++ b/rosepick/lab/drill/strict_model.py
@@ -1,4 +1,4 @@
-"""The base of what is read from TOML files of fault-injection tests."""
+"""The base class of models that are read from TOML files of fault-injection tests."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 class StrictModel(BaseModel):
-    """A frozen table of a file: unknown keys and values of another type are errors."""
+    """An immutable table of a file; unknown keys and values of the wrong type are errors."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
--- a/rosepick/lab/drill/version_fault.py
+++ b/rosepick/lab/drill/version_fault.py
@@ -1,4 +1,4 @@
-"""The kinds of faults that versions of the router have in tests of releases."""
+"""The kinds of faults that bad versions of the router have in tests of releases."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class VersionFault(StrEnum):
-    """How a version is worse than a good one; the value is the first part of the version's name."""
+    """The fault of a bad version; the value is the first part of the version's name."""
 
     EXITS_AT_START = "dead"
     NEVER_SERVES = "mute"
-    EXITS_SOON = "short"  # it serves, and ends soon after
-    FAILS_REQUESTS = "fails"  # three in ten
-    SLOW = "slow"  # it takes more processor time
+    EXITS_SOON = "short"  # it serves and exits soon after
+    FAILS_REQUESTS = "fails"  # about 30 % of them
+    SLOW = "slow"  # it uses more CPU time per request
     LEAKS_MEMORY = "leaks"
-    FAILS_IN_WEST = "west"  # it fails requests in one zone only
+    FAILS_IN_WEST = "west"  # it fails requests in the zone "west" only
