--- a/rosepick/lab/drill/drill_file.py
+++ b/rosepick/lab/drill/drill_file.py
@@ -45,7 +45,7 @@
     """When faults are injected, and of which kinds.
 
     Faults occur for `seconds`, one per `each` seconds on average. The test continues for `quiet` seconds
-    after the last one. An empty `kinds` allows all kinds.
+    after the last one. If `kinds` is empty, all kinds occur but those that must be named.
     """
 
     seconds: Annotated[float, Field(ge=0.0, le=3600.0)] = 20.0
--- a/rosepick/lab/drill/history.py
+++ b/rosepick/lab/drill/history.py
@@ -172,7 +172,7 @@
     return sorted(events, key=lambda event: event.at)
 
 
-def kind_of(event: AnyEvent) -> str:
+def event_kind(event: AnyEvent) -> str:
     """Return the kind under which an event is printed and counted: its tag, or "injected" for a fault."""
     tag = str(event.__struct_config__.tag)
     return "injected" if tag == "fault" else tag
@@ -184,4 +184,4 @@
     fields.pop("process")
     fields.pop("at")
     details = " ".join(f"{name}={value}" for name, value in fields.items())
-    return f"{event.at:10.4f} {event.process:8} {kind_of(event):9} {details}"
+    return f"{event.at:10.4f} {event.process:8} {event_kind(event):9} {details}"
--- a/rosepick/lab/drill/invariants.py
+++ b/rosepick/lab/drill/invariants.py
@@ -10,7 +10,14 @@
 from typing import NamedTuple
 
 from . import linearizability
-from .history import AnyEvent, GuardedEffect, LeaseCheckPassed, LeaseStateChanged, RegisterOperation, kind_of
+from .history import (
+    AnyEvent,
+    GuardedEffect,
+    LeaseCheckPassed,
+    LeaseStateChanged,
+    RegisterOperation,
+    event_kind,
+)
 
 
 class LeaseInvariant(StrEnum):
@@ -214,7 +221,7 @@
     )
     counts = report.counts
     for event in events:
-        counts[kind_of(event)] += 1
+        counts[event_kind(event)] += 1
         if isinstance(event, GuardedEffect):
             counts["effects taken" if event.taken else "effects refused"] += 1
         elif isinstance(event, RegisterOperation):
--- a/rosepick/lab/drill/lease_model_checker.py
+++ b/rosepick/lab/drill/lease_model_checker.py
@@ -71,9 +71,7 @@
         self.releases_left = bounds.releases
         self.last_owner_id = 0
         self.clients = [self._create_client(name) for name in CLIENT_NAMES]
-        self.pending_operations: list[PendingOperation | None] = [None] * len(
-            CLIENT_NAMES
-        )  # indexed by client
+        self.pending_operations: list[PendingOperation | None] = [None] * len(CLIENT_NAMES)  # by client
         self.abandoned_changes: list[AbandonedChange] = []
 
     def _create_client(self, name: str) -> LeaseClient:
--- a/rosepick/lab/drill/linearizability.py
+++ b/rosepick/lab/drill/linearizability.py
@@ -22,7 +22,7 @@
 
 
 class _Value(NamedTuple):
-    """The identification of a register's value."""
+    """The version and the change id that identify a register's value."""
 
     version: int
     change_id: str
--- a/rosepick/lab/drill/model_checker.py
+++ b/rosepick/lab/drill/model_checker.py
@@ -151,9 +151,7 @@
         self._last_request_id = 0
         self.retries_left = [retries] * len(CHANGE_IDS)  # indexed by proposer
         self.chosen: frozenset[ChosenVersion] = frozenset()
-        self.accepted: frozenset[tuple[int, Ballot]] = (
-            frozenset()
-        )  # each acceptor's index with a ballot that it accepted
+        self.accepted: frozenset[tuple[int, Ballot]] = frozenset()  # (acceptor index, ballot) pairs
         self.in_flight: list[InFlightMessage] = []
         self.proposers: list[ModelProposer] = []
         for index, change_id in enumerate(CHANGE_IDS):
--- a/rosepick/lab/drill/simulated_member.py
+++ b/rosepick/lab/drill/simulated_member.py
@@ -111,7 +111,7 @@
             self.record_availability(cause)
 
     def crash(self) -> None:
-        """End the process at once, as an injected fault."""
+        """End the process at once, as a fault does."""
         if self.running:
             self._exit(self.incarnation, "fault")
 
--- a/rosepick/lab/drill/simulated_network.py
+++ b/rosepick/lab/drill/simulated_network.py
@@ -38,9 +38,7 @@
 class NetworkFaults:
     """The active faults, keyed by their index in the fault plan."""
 
-    cuts: dict[int, frozenset[tuple[str, str]]] = field(
-        default_factory=dict
-    )  # values are pairs of source and target
+    cuts: dict[int, frozenset[tuple[str, str]]] = field(default_factory=dict)  # (source, target) pairs
     delays: dict[int, _LinkDelay] = field(default_factory=dict)
     losses: dict[int, _MessageFault] = field(default_factory=dict)
     duplicates: dict[int, _MessageFault] = field(default_factory=dict)
--- a/rosepick/lab/drill/simulation.py
+++ b/rosepick/lab/drill/simulation.py
@@ -1,6 +1,6 @@
 """Discrete-event simulation of processes whose clocks run at different rates.
 
-All random choices come from one generator, so a seed determines the whole history.
+All random choices derive from one seed, which determines the whole history.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     """The size of a simulated test, its delays and its rates; times in seconds.
 
     Clocks run faster or slower by up to `max_clock_skew`, a fraction; leases allow for a clock drift of
-    `drift`, also a fraction. Empty `fault_kinds` allow all kinds of faults.
+    `drift`, also a fraction. If `fault_kinds` is empty, all kinds occur but those that must be named.
     """
 
     replicas: int = 5
@@ -106,7 +106,7 @@
         self.simulation = simulation
         self.name = name
         self.clock_rate = clock_rate
-        self.incarnation = 0  # changes at each start and end; drops calls scheduled before
+        self.incarnation = 0  # changes at each start and kill; calls scheduled for an earlier one are dropped
         self.running = False
         self.paused_until = 0.0
         self._clock_offset_ms = simulation.rng.uniform(0.0, MAX_CLOCK_OFFSET_MS)
--- a/rosepick/lab/drill/version_fault.py
+++ b/rosepick/lab/drill/version_fault.py
@@ -11,7 +11,7 @@
     EXITS_AT_START = "dead"
     NEVER_SERVES = "mute"
     EXITS_SOON = "short"  # it serves and exits soon after
-    FAILS_REQUESTS = "fails"  # about 30 % of them
+    FAILS_REQUESTS = "fails"  # about 30 % of its requests
     SLOW = "slow"  # it uses more CPU time per request
     LEAKS_MEMORY = "leaks"
     FAILS_IN_WEST = "west"  # it fails requests in the zone "west" only
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -1,4 +1,4 @@
-"""Parts of the fault-injection tests: their checks have to reject wrong histories, and seeds repeat."""
+"""Tests of the fault-injection tests: checkers reject wrong histories, and a seed reproduces its run."""
 
 from __future__ import annotations
 
@@ -41,14 +41,14 @@
 def operation(
     begin: float, end: float, kind: str, version: int, change_id: str, parent: str = ""
 ) -> RegisterOperation:
-    """Return an operation that ended with this value; a read has a change id of its own."""
+    """Return an operation that ended with the given value; a read gets a change id of its own."""
     own_id = change_id if kind != "read" else f"r{begin}"
     seen = change_id if version else ""
     return RegisterOperation("p", end, begin, "k", own_id, kind, version, seen, parent)
 
 
 def unfinished_change(begin: float, change_id: str, kind: str = "unknown") -> RegisterOperation:
-    """Return a change whose outcome is unknown, or of another kind without a value."""
+    """Return a change without a value: its outcome is unknown, or `kind` if that is given."""
     return RegisterOperation("p", begin + 1.0, begin, "k", change_id, kind)
 
 
@@ -64,7 +64,7 @@
                 operation(3, 4, "read", 0, ""),
             ],
             False,
-        ),  # the new value is read before the old one
+        ),  # the new value is read before the old value
         (
             [
                 operation(0, 5, "done", 1, "a"),
@@ -76,7 +76,7 @@
         (
             [operation(0, 1, "done", 1, "a"), operation(2, 3, "done", 1, "b")],
             False,
-        ),  # two changes of one value: a lost update
+        ),  # two changes of the same value: a lost update
         (
             [
                 operation(0, 1, "done", 1, "a"),
@@ -88,7 +88,7 @@
         (
             [operation(0, 1, "done", 1, "a"), operation(2, 3, "done", 3, "c", "b")],
             False,
-        ),  # made from a value of no change
+        ),  # the parent is not the value of any change
         (
             [
                 operation(0, 1, "done", 1, "a"),
@@ -96,7 +96,7 @@
                 operation(2, 3, "done", 3, "c", "b"),
             ],
             True,
-        ),  # the unfinished change may be its parent
+        ),  # the unfinished change may be the parent
         (
             [
                 operation(0, 1, "done", 1, "a"),
@@ -104,7 +104,7 @@
                 operation(2, 3, "done", 3, "c", "b"),
             ],
             False,
-        ),  # but it began later
+        ),  # the unfinished change started too late to be the parent
         (
             [
                 unfinished_change(0, "a"),
@@ -118,7 +118,7 @@
         (
             [operation(0, 1, "read", 1, "a"), operation(2, 3, "done", 1, "a")],
             False,
-        ),  # read before the change began
+        ),  # the value is read before the change started
         (
             [
                 operation(0, 4, "done", 1, "a"),
@@ -129,7 +129,9 @@
         ),
     ],
 )
-def test_is_linearizable(operations: list[RegisterOperation], linearizable: bool) -> None:
+def test_linearizability_check_accepts_valid_histories_and_rejects_others(
+    operations: list[RegisterOperation], linearizable: bool
+) -> None:
     assert linearizability.is_linearizable(operations) is linearizable
     if not linearizable:
         counterexample = linearizability.minimal_counterexample(operations)
@@ -137,7 +139,7 @@
         assert len(counterexample) <= len(operations)
 
 
-def test_search_finds_one_wrong_operation_of_two_thousand_within_seconds() -> None:
+def test_linearizability_check_finds_one_stale_read_in_2000_operations_within_ten_seconds() -> None:
     operations = []
     parent = ""
     for n in range(1, 501):
@@ -146,8 +148,8 @@
         parent = f"m{n}"
     started_at = time.process_time()
     assert len(operations) == 2000 and linearizability.is_linearizable(operations)
-    wrong = [*operations, operation(400.0, 401.0, "read", 200, "m200")]
-    assert not linearizability.is_linearizable(wrong)
+    with_stale_read = [*operations, operation(400.0, 401.0, "read", 200, "m200")]
+    assert not linearizability.is_linearizable(with_stale_read)
     assert time.process_time() - started_at < 10.0
 
 
@@ -173,7 +175,7 @@
         (
             [lease_check("a", 1, 1.1, 1, 1), lease_check("a", 4, 9.0, 1, 1), lease_check("b", 5, 5.1, 2, 2)],
             "",
-        ),  # the check passed at some time from 4 on
+        ),  # the last check of "a" may have passed at any time from 4 on
         (
             [lease_check("a", 1, 9.0, 1, 1), lease_check("b", 3, 3.1, 2, 2), lease_check("b", 5, 5.1, 2, 2)],
             "",
@@ -196,7 +198,7 @@
     assert (invariant in found) if invariant else not found
 
 
-def test_check_takeover_finds_a_task_without_a_holder() -> None:
+def test_takeover_check_finds_a_task_without_a_holder_at_its_deadline() -> None:
     events: list[AnyEvent] = [lease_check("a", 1, 1.1, 1, 1), lease_check("b", 9, 9.1, 2, 2)]
     assert invariants.check_takeover(events, "t", 2.0, 5.0) and not invariants.check_takeover(
         events, "t", 2.0, 7.5
@@ -206,10 +208,10 @@
     )
 
 
-def test_a_seed_repeats_its_history_and_seeds_show_faults_and_rejected_effects() -> None:
+def test_a_seed_reproduces_its_counts_and_eight_seeds_inject_faults_without_violations() -> None:
     drill = drill_file.load_drill(ROOT / "drills" / "simulated.toml")
-    first, again = (runner.run_simulated(drill, 3) for _ in range(2))
-    assert first.counts == again.counts and not first.violations
+    first, second = (runner.run_simulated(drill, 3) for _ in range(2))
+    assert first.counts == second.counts and not first.violations
     total = runner.DrillSummary()
     for seed in range(1, 9):
         total.add(runner.run_simulated(drill, seed))
@@ -234,27 +236,27 @@
         ),
     ],
 )
-def test_simulated_leases_find_a_planted_fault(
+def test_simulated_leases_detect_a_planted_fault(
     plant: Callable[[pytest.MonkeyPatch], None], invariant: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     drill = drill_file.load_drill(ROOT / "drills" / "simulated.toml")
     config = runner._simulation_config(drill)
     plant(monkeypatch)
     found = {
-        broken.invariant
+        violation.invariant
         for seed in range(1, 9)
-        for broken in simulated_leases.run_drill(config, seed).violations
+        for violation in simulated_leases.run_drill(config, seed).violations
     }
     assert invariant in found
 
 
-def test_mutations_apply_to_the_program_and_are_at_least_twenty() -> None:
+def test_mutations_file_has_at_least_twenty_valid_mutations_with_unique_names() -> None:
     faults = mutations.load_mutations(ROOT / "tests" / "mutations.toml")
     assert len(faults) >= 20 and len({fault.name for fault in faults}) == len(faults)
 
 
 @pytest.mark.parametrize("text", ["[faults]\nkinds = ['none']\n", "[leases]\nttl = 0.1\n", "x = 1\n", "["])
-def test_load_drill_names_the_file_of_an_error(tmp_path: Path, text: str) -> None:
+def test_error_of_an_invalid_drill_file_contains_its_name(tmp_path: Path, text: str) -> None:
     path = tmp_path / "drill.toml"
     path.write_text(text)
     with pytest.raises(drill_file.DrillError, match="drill.toml"):
@@ -276,7 +278,7 @@
     lease_harness.close()
 
 
-def test_all_faults_can_be_injected(lease_harness: harness.LeaseHarness) -> None:
+def test_each_kind_of_fault_has_a_handler(lease_harness: harness.LeaseHarness) -> None:
     drill = drill_file.load_drill(ROOT / "drills" / "simulated.toml")
     config = runner._simulation_config(drill)
     lease_faults = set(FaultName) - AGENT_FAULTS
@@ -285,7 +287,7 @@
     assert simulated_drains.SimulatedDrainCluster(config, 1).fault_injector.handlers.kinds == set(FaultName)
 
 
-def test_a_fault_without_a_handler_is_named(lease_harness: harness.LeaseHarness) -> None:
+def test_error_for_a_fault_without_a_handler_contains_its_kind(lease_harness: harness.LeaseHarness) -> None:
     with pytest.raises(UnsupportedFaultError, match="'member'"):
         lease_harness.fault_handlers.inject(0, Fault(0.0, FaultName.MEMBER_CRASH, ("c0",)))
 
@@ -319,7 +321,7 @@
         (FaultName.REORDER, ("c0",), LinkFaults(reordering_rate=0.2), {("c0", f"w{n}") for n in range(1, 7)}),
     ],
 )
-def test_faults_of_links_hit_the_links_of_their_target_for_their_time(
+def test_link_faults_affect_only_the_links_of_their_target_and_end_in_time(
     lease_harness: harness.LeaseHarness,
     kind: FaultName,
     target: tuple[str, ...],
@@ -335,7 +337,7 @@
 
 
 @pytest.mark.parametrize("kind", ["dead", "short"])
-def test_a_router_with_a_version_that_exits_goes_down(kind: str) -> None:
+def test_simulated_router_goes_down_when_its_version_exits(kind: str) -> None:
     drill = drill_file.load_drill(ROOT / "drills" / "releases-simulated.toml")
     cluster = simulated_releases.SimulatedReleaseCluster(runner._simulation_config(drill), 1)
     member = next(iter(cluster.routers.values())).member
@@ -347,7 +349,7 @@
     assert not member.running and member.exit_count == 1
 
 
-def test_a_split_cuts_all_links_between_its_sides(lease_harness: harness.LeaseHarness) -> None:
+def test_split_cuts_exactly_the_links_between_its_sides(lease_harness: harness.LeaseHarness) -> None:
     side = ("w1", "w2", "c0", "c1")
     lease_harness.fault_handlers.inject(0, Fault(0.0, FaultName.SPLIT, side, length=60.0))
     for (caller, replica), link in lease_harness.links.items():
@@ -356,7 +358,7 @@
         )
 
 
-def test_a_short_test_on_real_processes(tmp_path: Path) -> None:
+def test_short_drill_on_real_processes_finds_no_violation(tmp_path: Path) -> None:
     result = runner.run_real(
         drill_file.load_drill(ROOT / "drills" / "short.toml"), 1, tmp_path / "drill", keep_folder=False
     )
@@ -364,7 +366,7 @@
     assert result.counts["effects refused"] + result.counts["leases lost"] + result.counts["messages cut"] > 0
 
 
-def test_model_checkers_explore_small_models_and_find_a_planted_fault(
+def test_model_checkers_accept_small_models_and_detect_planted_faults(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     result = model_checker.explore_register(2)
