--- a/rosepick/lab/account/__init__.py
+++ b/rosepick/lab/account/__init__.py
@@ -1,1 +1,1 @@
-"""The account of a day: what was lost and why, from the logs of routers."""
+"""Accounts for the lost requests of a day by their causes, from the logs of routers."""
--- a/rosepick/lab/account/log_reader.py
+++ b/rosepick/lab/account/log_reader.py
@@ -1,7 +1,7 @@
 """Reads the `request_outcomes` and `counters` lines of routers' logs, one file for each router.
 
-Figures in a line count from the start of its process, so that a lost line loses nothing but its place in
-time. A process that starts again counts from zero.
+The figures in a line count from the start of the router process, so that a lost line makes the account less
+precise in time but not incomplete. A restarted process counts from zero.
 """
 
 from __future__ import annotations
@@ -15,61 +15,64 @@
 
 from ..log_terms import parse_record
 
-_STAMP_PATTERN = re.compile(
-    r"(\d+(?:\.\d+)?) (?=time=)"
-)  # a test bench may put its own seconds before a line
+# a test bench may prefix each line with its own time in seconds
+_STAMP_PATTERN = re.compile(r"(\d+(?:\.\d+)?) (?=time=)")
 _COMMON_FIELDS = {"time", "level", "part", "event", "class", "pending_requests", "open_descriptors"}
 OUTCOMES_EVENT = "request_outcomes"
 COUNTERS_EVENT = "counters"
 START_EVENT = "serving"
 READ_EVENTS = {OUTCOMES_EVENT, COUNTERS_EVENT, START_EVENT}
-EARLIEST_UNIX_TIME = 1e6  # seconds; smaller times are those of a test bench, which start at 0
+EARLIEST_UNIX_TIME = 1e6  # seconds; smaller times come from a test bench, whose clock starts at 0
 
 
 class NoLogsError(ValueError):
-    """There is no log to read; the message says which files were tried."""
+    """No log can be read; the message names the files that were tried."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """One line of a router's log."""
+    """A line of a router's log."""
 
-    at: float  # seconds; by the bench's stamp, else Unix time
+    at: float  # seconds of the test bench if the line has its prefix, else Unix time
     router: str
     fields: dict[str, str]
 
     @property
     def event(self) -> str:
-        """The event of the line."""
+        """The event name of the line."""
         return self.fields["event"]
 
 
 @dataclass(slots=True)
 class EndedRequests:
-    """Requests of a class that ended at a router between two lines of its log."""
+    """The requests of a class that ended at a router between two lines of its log."""
 
-    at: float  # of the later line, in seconds since the first line of all routers
+    at: float  # time of the later line, in seconds since the first line of all routers
     router: str
     request_class: str
-    worth: float  # of one request
-    counts: Counter[str] = field(default_factory=Counter)  # by outcome and cause
-    waited_ms: dict[str, float] = field(default_factory=dict)  # in all, by outcome and cause
+    request_value: float  # value of one request
+    counts: Counter[str] = field(default_factory=Counter)  # requests by outcome and cause
+    waited_ms: dict[str, float] = field(
+        default_factory=dict
+    )  # total time until the end, by outcome and cause
 
 
 @dataclass(slots=True)
 class RouterLogs:
-    """All that was read from the logs of a day."""
+    """The records read from the logs of a day."""
 
     ended: list[EndedRequests] = field(default_factory=list)
-    counts: dict[str, Counter[str]] = field(default_factory=dict)  # by router: attempts, connects ...
-    starts: Counter[str] = field(default_factory=Counter)  # started processes, by router
+    counts: dict[str, Counter[str]] = field(
+        default_factory=dict
+    )  # counters of attempts, connects and so on, by router
+    starts: Counter[str] = field(default_factory=Counter)  # number of started processes by router
 
 
 def read_logs(paths: Iterable[Path]) -> RouterLogs:
-    """Read the logs of some folders and files.
+    """Read log files, and all `*.log` files of folders.
 
     Raises:
-        NoLogsError: a file cannot be read, or no file has a line of a router.
+        NoLogsError: a file cannot be read, or no file contains a line of a router.
     """
     files = [file for path in paths for file in (sorted(path.glob("*.log")) if path.is_dir() else [path])]
     logs = RouterLogs()
@@ -81,15 +84,17 @@
             raise NoLogsError(f"{file}: {error.strerror or error}") from None
     first_at = min((records[0].at for records in records_by_file if records), default=None)
     if first_at is None:
-        raise NoLogsError("no line of a router in " + (", ".join(map(str, files[:3])) or "an empty folder"))
-    epoch = first_at if first_at >= EARLIEST_UNIX_TIME else 0.0
+        raise NoLogsError(
+            "no log line of a router in " + (", ".join(map(str, files[:3])) or "an empty folder")
+        )
+    start_at = first_at if first_at >= EARLIEST_UNIX_TIME else 0.0
     for records in records_by_file:
-        _add_router_records(logs, records, epoch)
+        _add_router_records(logs, records, start_at)
     return logs
 
 
 def _read_records(file: Path) -> Iterator[LogRecord]:
-    """Yield the records of a file that count, in order. Foreign and truncated lines are skipped."""
+    """Yield the records of `READ_EVENTS` in a file, in order; skip other and truncated lines."""
     for line in file.read_text("utf-8", "replace").splitlines():
         if " event=" not in line:
             continue
@@ -104,9 +109,9 @@
         yield LogRecord(at, file.stem, fields)
 
 
-def _add_router_records(logs: RouterLogs, records: list[LogRecord], epoch: float) -> None:
-    """Add one router's records, as differences within each of its processes."""
-    last_figures: dict[str, dict[str, float]] = {}  # by class, or by event if it has none
+def _add_router_records(logs: RouterLogs, records: list[LogRecord], start_at: float) -> None:
+    """Add the records of a router, as increases between two lines of the same process."""
+    last_figures: dict[str, dict[str, float]] = {}  # by class, or by event for counters
     for record in records:
         if record.event == START_EVENT:
             logs.starts[record.router] += 1
@@ -119,8 +124,8 @@
         increases = {key: value - before.get(key, 0.0) for key, value in figures.items()}
         last_figures[name] = figures
         if is_outcomes:
-            worth = figures.get("worth", 1.0)
-            ended = EndedRequests(record.at - epoch, record.router, name, worth)
+            request_value = figures.get("worth", 1.0)
+            ended = EndedRequests(record.at - start_at, record.router, name, request_value)
             _add_outcomes(ended, increases)
             logs.ended.append(ended)
         else:
@@ -138,7 +143,7 @@
 
 
 def _parse_figures(fields: dict[str, str]) -> dict[str, float]:
-    """Return the numeric fields of a record, without those that every record has."""
+    """Return the numeric fields of a record, without the common fields of all records."""
     figures: dict[str, float] = {}
     for key, text in fields.items():
         if key in _COMMON_FIELDS:
--- a/rosepick/lab/live/__init__.py
+++ b/rosepick/lab/live/__init__.py
@@ -1,1 +1,1 @@
-"""Plays an experiment on sockets: real routers, and stand-ins for all that is around them. Loopback only."""
+"""Runs experiments on loopback sockets: real router processes, and simulated nodes, origin and discovery."""
--- a/rosepick/lab/live/client_connections.py
+++ b/rosepick/lab/live/client_connections.py
@@ -1,4 +1,4 @@
-"""Connections of clients to a router: reused, and opened up to a limit while all are busy."""
+"""Pools the connections of clients to a router: reuses idle ones and opens new ones up to a limit."""
 
 from __future__ import annotations
 
@@ -16,46 +16,46 @@
 from .controllable_listener import HOST
 
 logger = logging.getLogger(__name__)
-MAX_CONNECTIONS = 128  # of all clients to one router
+MAX_CONNECTIONS = 128  # from all clients to one router
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 
 
 class ConnectionWaiter(Protocol):
-    """One try of a request, which waits for a connection or uses one."""
+    """A try of a client request, which waits for a connection or uses one."""
 
-    one_shot: bool  # on a connection that is kept open and not reused
+    one_shot: bool  # whether the connection is not reused and stays open until the router closes it
 
     def on_connected(self, connection: ClientConnection) -> None:
         """Send the request on an open connection."""
 
     def on_refused(self) -> None:
-        """Handle that the connection was refused."""
+        """Handle a refused connection."""
 
     def on_written(self) -> None:
-        """Handle that the last byte was written."""
+        """Handle the write of the last byte of the request."""
 
     def on_answer(self, answer: Response, surplus: bool) -> None:
-        """Handle a complete answer; `surplus` if more bytes followed it."""
+        """Handle a complete answer; `surplus` is whether unexpected bytes followed it."""
 
     def on_broken(self) -> None:
-        """Handle that the connection ended without a complete answer."""
+        """Handle the end of the connection before the answer was complete."""
 
     def may_resend(self) -> bool:
-        """Return whether to send the try again, as a reused connection ended without a byte of an answer."""
+        """Return whether to send the try again if a reused connection ended without a byte of an answer."""
 
     def needs_connection(self) -> bool:
         """Return whether the try still waits for a connection."""
 
 
 class ClientConnection(OutboundConnection):
-    """One connection to a router."""
+    """A connection of a client to a router."""
 
     def __init__(self, pool: ClientConnectionPool, waiter: ConnectionWaiter) -> None:
         super().__init__()
         self.pool = pool
         self.waiter: ConnectionWaiter | None = waiter
         self._reader: ResponseReader | None = None
-        self._unwritten = False  # whether a part of the request is not written yet
+        self._is_writing = False  # whether part of the request is still to be written
         self._answer_started = False
         self.reused = False  # whether an earlier request used the connection
         self.stream = TcpStream(pool.loop, pool.budget, dial((HOST, pool.port)), self.on_ready, WRITE)
@@ -67,7 +67,7 @@
             OSError: the connection broke.
         """
         self._reader = ResponseReader(MAX_ANSWER_BYTES)
-        self._unwritten = True
+        self._is_writing = True
         self._answer_started = False
         self.stream.send(data)
         self._write()
@@ -108,8 +108,8 @@
     def _write(self) -> None:
         self.stream.flush()
         unwritten = self.stream.has_unwritten()
-        if self._unwritten and not unwritten and self.waiter is not None:
-            self._unwritten = False
+        if self._is_writing and not unwritten and self.waiter is not None:
+            self._is_writing = False
             self.waiter.on_written()
         self.stream.set_events(READ | (WRITE if unwritten else 0))
 
@@ -143,7 +143,7 @@
         surplus = not answer.reusable and not closes
         if not answer.reusable:
             self.close()
-        elif not waiter.one_shot:  # else it stays open until the router closes it
+        elif not waiter.one_shot:  # a one-shot connection stays open until the router closes it
             self.pool.release(self)
         waiter.on_answer(answer, surplus)
 
@@ -159,11 +159,11 @@
             waiter.on_broken()
 
     def is_usable(self) -> bool:
-        """Return whether the connection is still good as far as this side knows."""
+        """Return whether the connection is open and nothing, not even its end, has arrived on it."""
         return self.stream.is_open and self.stream.has_nothing_to_read()
 
     def close(self) -> None:
-        """Close the connection without notice to its try."""
+        """Close the connection without notifying its try."""
         self.waiter = None
         if self.stream.is_open:
             self.stream.close()
@@ -171,23 +171,23 @@
 
 
 class ClientConnectionPool:
-    """The connections of all clients to one router."""
+    """Holds the connections of all clients to one router."""
 
     def __init__(
         self, loop: EventLoop, budget: ResourceBudget, port: int, on_unsolicited: Callable[[], None]
     ) -> None:
-        """Create a pool; `on_unsolicited` is called for bytes that arrive without a request."""
+        """Create a pool that calls `on_unsolicited` when bytes arrive on a connection without a request."""
         self.loop = loop
         self.budget = budget
         self.port = port
-        self.wait_count = 0  # tries that found all connections in use
+        self.wait_count = 0  # number of tries that found all connections in use
         self.on_unsolicited = on_unsolicited
         self._connections: dict[ClientConnection, None] = {}
-        self._idle: list[ClientConnection] = []  # the most recently used last
+        self._idle: list[ClientConnection] = []  # ordered by last use, the most recent one last
         self._waiting: deque[ConnectionWaiter] = deque()
 
     def acquire(self, waiter: ConnectionWaiter) -> None:
-        """Get a connection for a try: an idle one, a new one, or the next one that is released."""
+        """Assign a connection to a try: an idle one, a new one, or the next one that is released."""
         while self._idle and not waiter.one_shot:
             connection = self._idle.pop()
             if connection.is_usable():
@@ -201,7 +201,7 @@
             self._waiting.append(waiter)
 
     def acquire_new(self, waiter: ConnectionWaiter) -> None:
-        """Get a new connection for a try, even if there are idle ones."""
+        """Assign a new connection to a try, even if there are idle ones."""
         if len(self._connections) < MAX_CONNECTIONS:
             self._open_connection(waiter)
         else:
@@ -214,7 +214,7 @@
             waiter.on_refused()
 
     def release(self, connection: ClientConnection) -> None:
-        """Give a connection to the next waiting try, or keep it idle."""
+        """Assign a released connection to the next waiting try, or keep it idle."""
         while self._waiting:
             waiter = self._waiting.popleft()
             if waiter.needs_connection():
--- a/rosepick/lab/live/clients.py
+++ b/rosepick/lab/live/clients.py
@@ -1,4 +1,4 @@
-"""Clients on sockets: each sends its request when it is due and may retry, as the model's clients do."""
+"""Implements clients on sockets: each sends its request when due and may retry, like the model's clients."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from .request_schedule import request_id_of
 from .run_records import LoadResults, RequestEndRecord, TryRecord
 
-LATE_ANSWER_WAIT_MS = 1_000.0  # after the deadline, to distinguish a late answer from none
-MAX_BODY_BYTES = 64 * 1024  # that routers accept
+LATE_ANSWER_WAIT_MS = 1_000.0  # wait after the deadline that distinguishes a late answer from none
+MAX_BODY_BYTES = 64 * 1024  # the largest request body that routers accept
 OUTCOME_BY_STATUS = {200: TryOutcome.SERVED, 429: TryOutcome.REFUSED, 503: TryOutcome.REFUSED}
 _SECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{0,9})?")
 
 
 class LiveClientRequest:
-    """A client's request with all its tries."""
+    """A client's request and its tries."""
 
     __slots__ = (
         "_connection",
@@ -54,16 +54,16 @@
         self.one_shot = one_shot
         self.request_class = clients.experiment.classes[request.klass]
         self.attempts_made = 0
-        self.send_count = 0  # tries, and those that were sent again
+        self.send_count = 0  # number of sendings, including repeats of the same try
         self.finished = False
         self._last_outcome = TryOutcome.FAILED
-        self._was_resent = False  # the present try was sent again
+        self._was_resent = False  # whether the current try was sent again
         self._connection: ClientConnection | None = None
         self._current_try: TryRecord | None = None
         self._timer: ScheduledCall | None = None
 
     def start(self) -> None:
-        """Start the request, which is due."""
+        """Set the timers of the request and send its first try."""
         request = self.request
         self._timer = self.clients.call_at(self.deadline_ms(), self._on_deadline)
         if request.abandon_after_ms < math.inf:
@@ -71,11 +71,11 @@
         self.request_connection()
 
     def deadline_ms(self) -> float:
-        """Return the deadline of all tries, in milliseconds since the run's begin."""
+        """Return the deadline of all tries, in milliseconds since the start of the run."""
         return self.request.due_ms + 1000.0 * self.request_class.deadline
 
     def request_connection(self) -> None:
-        """Get a connection for the next try."""
+        """Request a connection for the next try, or finish the request if its deadline has passed."""
         if self.finished:
             return
         if self.clients.now() >= self.deadline_ms():
@@ -84,7 +84,7 @@
             self.clients.pools[self.request.router].acquire(self)
 
     def needs_connection(self) -> bool:
-        """Return whether a connection is still needed."""
+        """Return whether the request still waits for a connection."""
         return not self.finished and self._current_try is None
 
     # ---------------------------------------------------------------------- callbacks of connections
@@ -112,11 +112,11 @@
         connection.send(self._encode_request(name, remaining_ms))
 
     def on_refused(self) -> None:
-        """Connect again soon, which does not count as a try."""
+        """Connect again after `RECONNECT_DELAY_MS`; a refused connection does not count as a try."""
         self.clients.call_at(self.clients.now() + RECONNECT_DELAY_MS, self.request_connection)
 
     def on_written(self) -> None:
-        """Record that the try was sent."""
+        """Record when the try was completely sent."""
         if self._current_try is not None:
             self._current_try.sent_at = self.clients.now()
 
@@ -131,15 +131,15 @@
         self._on_try_ended(outcome, retry_after_ms)
 
     def may_resend(self) -> bool:
-        """Return whether to send the try again, as a reused connection ended without a byte of an answer.
+        """Return whether to send the try again after a reused connection ended without a byte of an answer.
 
-        The router may have closed the connection before it received the request. HTTP allows a client to send
-        it again, once, as the same try.
+        The router may have closed the connection before it received the request. HTTP allows the client to
+        send the request again; it does so once, as the same try.
         """
         if self._was_resent or self._current_try is None:
             return False
         self._was_resent = True
-        self._finish_try("crossed")  # the second sending has a Req-Id of its own, and is checked by itself
+        self._finish_try("crossed")  # the repeat has its own Req-Id and is checked separately
         self.attempts_made -= 1
         return True
 
@@ -175,7 +175,7 @@
             )
 
     def _on_deadline(self) -> None:
-        """Finish the request at its deadline, after some more time for a try without an answer."""
+        """Finish the request at its deadline, or `LATE_ANSWER_WAIT_MS` later if a try has no answer yet."""
         if self.finished:
             return
         if self._current_try is not None and self.clients.now() < self.deadline_ms() + LATE_ANSWER_WAIT_MS:
@@ -185,7 +185,7 @@
         self._finish(CLIENT_OUTCOME_BY_TRY[self._last_outcome])
 
     def _abandon(self) -> None:
-        """Disconnect before the deadline."""
+        """Disconnect the client before the deadline."""
         if not self.finished:
             self._drop_connection("left")
             self._finish(ClientOutcome.LEFT)
@@ -230,7 +230,7 @@
 
 
 class LiveClients:
-    """All clients of a run. Each has one router and uses no other."""
+    """Holds all clients of a run. Each client uses a single router."""
 
     def __init__(
         self,
@@ -242,7 +242,7 @@
     ) -> None:
         self.loop = loop
         self.experiment = experiment
-        self.started_at_ms = math.inf  # on the loop's clock
+        self.started_at_ms = math.inf  # start of the run on the clock of the event loop
         self.records = LoadResults()
         self.tenants = [tenant.name for tenant in experiment.tenants]
         budget = ResourceBudget(1_000_000)
@@ -257,21 +257,21 @@
         self._on_done = on_done
 
     def now(self) -> float:
-        """Return the time since the run's begin, in milliseconds."""
+        """Return the time since the start of the run, in milliseconds."""
         return self.loop.now() - self.started_at_ms
 
     def call_at(self, at_ms: float, callback: Callable[[], None]) -> ScheduledCall:
-        """Schedule a callback at a time since the run's begin."""
+        """Schedule a callback `at_ms` milliseconds after the start of the run."""
         return self.loop.call_at(self.started_at_ms + at_ms, callback)
 
     def on_request_due(self, request: ScheduledRequest) -> None:
-        """Start a request that is due."""
+        """Start a request at its due time."""
         self._open_count += 1
         share = self.experiment.clients.one_shot
         LiveClientRequest(self, request, share > 0 and self._one_shot_stream() < share).start()
 
     def finish_arrivals(self) -> None:
-        """Handle that no more requests will be due."""
+        """Expect no more requests, and report the end once all open requests have ended."""
         self._expects_more = False
         if not self._open_count:
             self._on_done()
@@ -284,7 +284,7 @@
             self._on_done()
 
     def retry_pause_ms(self, retry_after_ms: float) -> float:
-        """Return how long a client waits before it tries again, in milliseconds."""
+        """Return how long a client waits before its next try, in milliseconds."""
         return retry_pause_ms(self.experiment.clients, retry_after_ms, self.now(), self._pause_stream())
 
     def _unsolicited_recorder(self, router: int) -> Callable[[], None]:
--- a/rosepick/lab/live/controllable_listener.py
+++ b/rosepick/lab/live/controllable_listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that can refuse connections or fall silent, and keeps its port meanwhile."""
+"""Implements a listener that can refuse connections or leave them pending without giving up its port."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def reserve_port() -> socket.socket:
-    """Return a socket that reserves a port until it is closed.
+    """Return a socket that reserves a port until the socket is closed.
 
     Connections to the port are refused, unless another socket with SO_REUSEADDR listens there.
     """
@@ -27,7 +27,7 @@
 
 
 class ControllableListener:
-    """The listener of a stand-in: open, shut (connections are refused) or mute (connections stay pending)."""
+    """Accepts connections (open), refuses them (shut) or leaves them pending (mute)."""
 
     def __init__(self, loop: EventLoop, on_accepted: Callable[[socket.socket], None]) -> None:
         self.state: ListenerState = "shut"
@@ -40,7 +40,7 @@
         self._plug_addresses: set[tuple[str, int]] = set()
 
     def set_state(self, state: ListenerState) -> None:
-        """Change the state. Established connections stay."""
+        """Change the state; established connections are not affected."""
         if state == self.state:
             return
         previous = self.state
@@ -66,10 +66,10 @@
                 self._loop.unregister(self._sock)
             self._sock.close()
             self._sock = None
-            self._plug_addresses.clear()  # another connection may come from such an address later
+            self._plug_addresses.clear()  # a later connection may have the same address
 
     def _fill_backlog(self, sock: socket.socket, previous: ListenerState) -> None:
-        """Fill the backlog with one connection, so that others get no answer, as from a hanging machine."""
+        """Fill the backlog with one connection, so that further ones stay pending as with a hung machine."""
         if previous == "open":
             self._accept_all(sock)
             self._loop.unregister(sock)
@@ -84,7 +84,7 @@
     def _accept_all(self, sock: socket.socket) -> None:
         state = self.state
         with contextlib.suppress(BlockingIOError, ConnectionAbortedError):
-            while self.state == state:  # an accepted connection may change it
+            while self.state == state:  # handling an accepted connection may change the state
                 accepted, peer = sock.accept()
                 if peer in self._plug_addresses:
                     self._plug_addresses.discard(peer)
--- a/rosepick/lab/live/discovery_server.py
+++ b/rosepick/lab/live/discovery_server.py
@@ -1,6 +1,6 @@
-"""Serves the model's discovery on sockets, with one listener for each router.
+"""Serves the model's discovery on sockets.
 
-By its listener it is known which router was told what.
+Each router has its own listener, so that the server can record which changes each router was sent.
 """
 
 from __future__ import annotations
@@ -21,45 +21,46 @@
 from ..model.random_streams import UniformStream
 from .controllable_listener import HOST, ControllableListener
 from .live_context import LiveContext
-from .notification_ledger import NotificationLedger
+from .notification_ledger import NotificationTracker
 from .request_reader import HttpRequest, MalformedRequestError, RequestReader, encode_response
 from .router_config import MACHINE_TYPES
 
 logger = logging.getLogger(__name__)
 WIRE_STATES = {Status.READY: "active", Status.DRAINING: "leaving", Status.REMOVED: "left"}
-EndpointRows = dict[str, Any]
-LAST_LIST_PATH = "/last"  # `/last?N`: the list that router N had last, for whoever starts its next process
+EndpointDocument = dict[str, Any]
+# `/last?N` returns the last list of router N, for the process that starts the next process of that router
+LAST_LIST_PATH = "/last"
 
 
 class DiscoveryServer(SimulatedDiscovery):
-    """The discovery service of a live run.
+    """Implements the discovery service of a live run.
 
-    Changes reach it as in simulated time. Calls are answered in real time, one after another.
+    Changes reach the service as in simulated time. It answers calls in real time, one after another.
     """
 
     def __init__(self, simulation: LiveContext, config: DiscoveryConfig, seed: int) -> None:
         super().__init__(simulation.kernel, config, seed, lambda _zone: 0.0)
         self.simulation = simulation
         self.connections: dict[DiscoveryConnection, None] = {}
-        self.zones = len(simulation.experiment.zones)
-        self.routers = simulation.experiment.routers.count
-        # one more listener for each zone, for the process that starts routers, even while discovery is down
-        listener_count = self.routers + self.zones
+        self.zone_count = len(simulation.experiment.zones)
+        self.router_count = simulation.experiment.routers.count
+        # the process that starts routers has a listener for each zone, open even while discovery is down
+        listener_count = self.router_count + self.zone_count
         self.listeners = [
             ControllableListener(simulation.loop, self._accept_handler(index))
             for index in range(listener_count)
         ]
-        self.ledgers = [NotificationLedger() for _ in self.listeners]
-        self.busy_shares: list[float] = []  # of calls that are turned away, by each active fault
-        self.extra_answer_delays_ms: list[float] = []  # of calls that do not wait, by each active fault
-        self._drained_at: dict[int, float] = {}  # since when a node drains or is gone, by its number
-        self._listed_revisions = [0] * listener_count  # that each router had last, by its calls
-        self._initial_members: list[Endpoint] = []  # as routers are configured with at the run's begin
-        self._turn_away_stream = UniformStream(seed, "discovery turns away")
+        self.trackers = [NotificationTracker() for _ in self.listeners]
+        self.rejection_shares: list[float] = []  # shares of rejected calls, one for each active fault
+        self.extra_answer_delays_ms: list[float] = []  # for calls without wait, one for each active fault
+        self._drained_at: dict[int, float] = {}  # by node number, when it began to drain or was removed
+        self._stated_revisions = [0] * listener_count  # the last revision that each router stated in a call
+        self._initial_members: list[Endpoint] = []  # in the configuration of routers at the start of the run
+        self._rejection_stream = UniformStream(seed, "discovery turns away")
         self._busy_until_ms = 0.0
 
     def load_members(self, members: list[Endpoint]) -> None:
-        """Set the list at the start. Nodes that started within `stale_by` are not in the routers' lists."""
+        """Set the initial list. Nodes that started within `stale_by` are missing from the routers' lists."""
         super().load_members(members)
         young = [member for member in members if member.started_at > -1000.0 * self.config.stale_by]
         self._changes = [MemberChange(1, member) for member in young]
@@ -67,7 +68,7 @@
         self._initial_members = [member for member in members if member.endpoint_id not in young_ids]
 
     def open(self) -> None:
-        """Accept calls from now on."""
+        """Start to accept calls."""
         for listener in self.listeners:
             listener.set_state("open")
 
@@ -79,14 +80,14 @@
             connection.close()
 
     def set_available(self, available: bool) -> None:
-        """Take the service down, so that calls are refused, or bring it back."""
+        """Take the service down, which refuses connections, or bring it back."""
         self.up = available
-        for ledger in self.ledgers:
-            ledger.record_availability(self._now(), available)
-        for listener in self.listeners[: self.routers]:
+        for tracker in self.trackers:
+            tracker.record_availability(self._now(), available)
+        for listener in self.listeners[: self.router_count]:
             listener.set_state("open" if available else "shut")
         if not available:
-            for connection in [one for one in self.connections if one.router < self.routers]:
+            for connection in [one for one in self.connections if one.router < self.router_count]:
                 connection.close()
 
     def _accept_handler(self, router: int) -> Callable[[socket.socket], None]:
@@ -97,16 +98,16 @@
 
     # ------------------------------------------------------------------------------------- documents
 
-    def endpoint_document(self, router: int, after: int | None) -> tuple[EndpointRows, list[Endpoint]]:
-        """Return the answer to a router's call, and its endpoints: those changed after a revision, or all."""
+    def endpoint_document(self, router: int, after: int | None) -> tuple[EndpointDocument, list[Endpoint]]:
+        """Return the answer to a router's call, and its endpoints: all, or those changed after `after`."""
         members = list(self._members.values()) if after is None else self.changes_since(after)
-        zone = (router if router < self.routers else router - self.routers) % self.zones
+        zone = (router if router < self.router_count else router - self.router_count) % self.zone_count
         rows = [self._endpoint_row(member, zone) for member in members]
         return {"rev": self.revision, "all": after is None, "targets": rows}, members
 
-    def last_document(self, router: int) -> EndpointRows:
-        """Return the list as a router had it last, by its calls."""
-        revision = self._listed_revisions[router]
+    def last_document(self, router: int) -> EndpointDocument:
+        """Return the list at the revision that a router stated in its last call."""
+        revision = self._stated_revisions[router]
         members = {member.endpoint_id: member for member in self._initial_members}
         for change in self._changes:
             if change.revision > revision:
@@ -115,11 +116,11 @@
                 members.pop(change.member.endpoint_id, None)
             else:
                 members[change.member.endpoint_id] = change.member
-        rows = [self._endpoint_row(member, router % self.zones) for member in members.values()]
+        rows = [self._endpoint_row(member, router % self.zone_count) for member in members.values()]
         return {"rev": revision, "all": True, "targets": rows}
 
-    def initial_document(self, zone: int) -> EndpointRows:
-        """Return the cached list of routers in a zone at the start, which is `stale_by` old."""
+    def initial_document(self, zone: int) -> EndpointDocument:
+        """Return the cached list that routers in a zone start with, which is `stale_by` seconds old."""
         new_endpoints = {change.member.endpoint_id for change in self._changes}
         rows = [
             self._endpoint_row(member, zone)
@@ -129,13 +130,13 @@
         return {"rev": 0 if new_endpoints else self.revision, "all": True, "targets": rows}
 
     def changes_since(self, after: int) -> list[Endpoint]:
-        """Return the endpoints that changed after a revision, each with its last change."""
+        """Return the endpoints that changed after revision `after`, each with its last change."""
         last_changes = {
             change.member.endpoint_id: change.member for change in self._changes if change.revision > after
         }
         return list(last_changes.values())
 
-    def _endpoint_row(self, member: Endpoint, zone: int) -> EndpointRows:
+    def _endpoint_row(self, member: Endpoint, zone: int) -> EndpointDocument:
         simulation = self.simulation
         server = simulation.node_servers[member.endpoint_id]
         return {
@@ -159,7 +160,7 @@
             connection.on_change()
 
     def next_answer_at(self, lines: int) -> float:
-        """Return when a call is answered, on the loop's clock, and occupy the service until then."""
+        """Occupy the service with a call of `lines` endpoints; return its end on the loop's clock."""
         cost_ms = self.config.call_ms + self.config.line_ms * lines
         self._busy_until_ms = max(self._busy_until_ms, self.simulation.loop.now()) + cost_ms
         return self._busy_until_ms
@@ -170,49 +171,49 @@
         return self.simulation.real_time_kernel.now()
 
     def drain_known_at(self, router: int, node: int) -> float | None:
-        """Return since when a router counts as knowing that a node drains; None if it does not."""
-        return self.ledgers[router].drain_known_at(
+        """Return from when on a router counts as notified that a node drains; None if it does not."""
+        return self.trackers[router].drain_known_at(
             self._now(), node, self._drained_at.get(node), self.revision
         )
 
     def record_process_start(self, router: int) -> None:
-        """Record that a process of a router begins to serve."""
-        self.ledgers[router].record_process_start(self._now())
+        """Record that a new process of a router starts to serve."""
+        self.trackers[router].record_process_start(self._now())
 
     def record_process_end(self, router: int) -> None:
-        """Record that the process of a router has ended, or is about to be replaced."""
-        self.ledgers[router].record_process_end()
+        """Record that the process of a router has ended or is about to be replaced."""
+        self.trackers[router].record_process_end()
 
     def record_poll(self, router: int, after: int) -> None:
-        """Record that a router has a revision, and forget later notifications: it may have restarted."""
-        self._listed_revisions[router] = after
-        self.ledgers[router].record_revision(after)
+        """Record the revision that a router states, and drop later notifications: it may have restarted."""
+        self._stated_revisions[router] = after
+        self.trackers[router].record_revision(after)
 
     def record_notification(self, router: int, members: list[Endpoint]) -> None:
         """Record that endpoints were sent to a router."""
-        ledger = self.ledgers[router]
+        tracker = self.trackers[router]
         for member in members:
             if member.status is Status.READY:
-                ledger.record_ready(member.endpoint_id)
+                tracker.record_ready(member.endpoint_id)
             else:
-                ledger.record_drain(self._now(), member.endpoint_id, self.revision)
+                tracker.record_drain(self._now(), member.endpoint_id, self.revision)
 
-    def turns_away(self) -> bool:
-        """Return whether the present call is turned away, as discovery has too many callers."""
-        share = max(self.busy_shares, default=0.0)
-        return share > 0.0 and self._turn_away_stream() < share
+    def rejects_call(self) -> bool:
+        """Return whether the current call is rejected, as by a service with too many callers."""
+        share = max(self.rejection_shares, default=0.0)
+        return share > 0.0 and self._rejection_stream() < share
 
 
 class DiscoveryConnection:
-    """One connection of a router to discovery."""
+    """A connection of a router to discovery."""
 
     def __init__(self, server: DiscoveryServer, router: int, sock: socket.socket) -> None:
         self.server = server
         self.router = router
         self._reader = RequestReader()
-        self._after: int | None = None  # the revision of the present call; None: it asks for the whole list
-        self._is_waiting = False  # the present call waits for a change
-        self._is_called = False  # a call is open: neither answered nor refused
+        self._after: int | None = None  # the revision that the current call states; None for the whole list
+        self._is_waiting = False  # whether the current call waits for a change
+        self._has_open_call = False  # whether a call is neither answered nor rejected
         self._wait_timer: ScheduledCall | None = None
         self.stream = TcpStream(server.simulation.loop, server.simulation.budget, sock, self._on_ready)
 
@@ -239,7 +240,7 @@
             self.stream.set_events(READ | (WRITE if self.stream.has_unwritten() else 0))
 
     def _handle_call(self, message: HttpRequest) -> None:
-        """Answer a call at once, at the next change, or when its waiting time is over."""
+        """Answer a call at once, at the next change, or at the end of its wait."""
         loop = self.server.simulation.loop
         url = urlsplit(message.target.decode("latin-1"))
         if url.path == LAST_LIST_PATH:
@@ -249,7 +250,7 @@
             self.stream.send(encode_response(404))
             return
         self._begin_call()
-        if self.router < self.server.routers and self.server.turns_away():
+        if self.router < self.server.router_count and self.server.rejects_call():
             self._fail_call()
             self.stream.send(encode_response(503))
             return
@@ -269,31 +270,31 @@
             self._schedule_answer(max(self.server.extra_answer_delays_ms, default=0.0))
 
     def _send_last_list(self, query: str) -> None:
-        """Answer the process that starts routers: the list as a router had it last."""
+        """Answer the process that starts routers with the last list of a router."""
         document = self.server.last_document(int(query))
         body = json.dumps(document).encode()
         self.stream.send(encode_response(200, body, ((b"Content-Type", b"application/json"),)))
 
     def _begin_call(self) -> None:
-        if not self._is_called:
-            self._is_called = True
-            self.server.ledgers[self.router].record_call()
+        if not self._has_open_call:
+            self._has_open_call = True
+            self.server.trackers[self.router].record_call()
 
     def _fail_call(self) -> None:
-        if self._is_called:
-            self._is_called = False
-            self.server.ledgers[self.router].record_call_failed()
+        if self._has_open_call:
+            self._has_open_call = False
+            self.server.trackers[self.router].record_call_failed()
 
     def _record_answer(self, members: list[Endpoint]) -> None:
-        """Record that the present call was answered."""
+        """Record the answer to the current call."""
         server = self.server
         server.record_notification(self.router, members)
-        if self._is_called:
-            self._is_called = False
-            server.ledgers[self.router].record_list_written(server.simulation.real_time_kernel.now())
+        if self._has_open_call:
+            self._has_open_call = False
+            server.trackers[self.router].record_answer(server.simulation.real_time_kernel.now())
 
     def on_change(self) -> None:
-        """Answer a waiting call, as the list has changed."""
+        """Answer a waiting call after a change of the list."""
         if self._is_waiting:
             self._schedule_answer()
 
--- a/rosepick/lab/live/generator.py
+++ b/rosepick/lab/live/generator.py
@@ -1,8 +1,9 @@
-"""The clients' process: it sends the scheduled load of a run when it is due, whatever the responses.
+"""Runs the clients of a live run in a process of its own.
 
+The process sends each request at its due time, independently of responses (open loop).
 It receives `{"experiment", "seed", "ports", "result"}`, sends `{"requests"}`, receives `{"begin": time}` in
-milliseconds of the monotonic clock, and sends `{"done"}` once all requests have ended and it has written a
-`LoadResults`.
+milliseconds of the monotonic clock, and sends `{"done"}` when all requests have ended and its `LoadResults`
+are written.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class LoadGenerator:
-    """The load generator of one run."""
+    """Generates the load of one run."""
 
     def __init__(self) -> None:
         self.loop = EventLoop()
@@ -63,7 +64,7 @@
             self.clients.finish_arrivals()
 
     def _send_due_requests(self) -> None:
-        """Send all requests that are due."""
+        """Send all requests whose due time has come."""
         clients = self.clients
         while self._next_index < len(self._scheduled_requests):
             request = self._scheduled_requests[self._next_index]
@@ -88,7 +89,7 @@
 
 
 def main() -> None:
-    """Send until all requests have ended and the parent has gone."""
+    """Run the load generator until its parent closes the connection."""
     logs.configure_logging()
     raise_descriptor_limit()
     LoadGenerator().loop.run()
--- a/rosepick/lab/live/helper_process.py
+++ b/rosepick/lab/live/helper_process.py
@@ -1,6 +1,6 @@
-"""Helper processes of a run, and the JSON lines that they exchange with it on a pair of sockets.
+"""Starts the helper processes of a run and exchanges JSON lines with them over a socket pair.
 
-A helper whose parent has gone ends.
+A helper ends when its parent ends.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 from ...net.event_loop import READ, EventLoop
 
 logger = logging.getLogger(__name__)
-ROOT = Path(__file__).parents[3]  # the folder that holds the package
+ROOT = Path(__file__).parents[3]  # the parent directory of the package
 RECEIVE_BYTES = 65536
 ControlMessage = dict[str, Any]
 
 
 class HelperProcessError(RuntimeError):
-    """A helper ended, does not answer or left no result; the message ends with the last lines of its log."""
+    """A helper ended, does not answer or wrote no result; the message ends with the last lines of its log."""
 
 
 def child_environment() -> dict[str, str]:
-    """Return the environment of a process of the run, in which it finds this package."""
+    """Return the environment for a child process, with this package on the module search path."""
     paths = (str(ROOT), os.environ.get("PYTHONPATH", ""))
     return {**os.environ, "PYTHONPATH": os.pathsep.join(filter(None, paths))}
 
 
 def last_log_lines(path: Path, count: int = 12) -> str:
-    """Return the last lines of a log file; empty if there is none."""
+    """Return the last `count` lines of a log file; empty if the file cannot be read."""
     try:
         return "\n".join(path.read_text("utf-8", "replace").splitlines()[-count:])
     except OSError:
@@ -46,7 +46,7 @@
 
 
 class HelperProcess:
-    """A helper process, on the side of the run that started it."""
+    """A helper process as seen by the process that started it."""
 
     def __init__(self, module: str, log_file: Path, initial_message: ControlMessage) -> None:
         self.name = module
@@ -78,14 +78,14 @@
             raise self._to_error(str(error)) from None
 
     def has_message(self) -> bool:
-        """Return whether a message, or the end of the helper, can be received."""
+        """Return whether `receive` finds a message or the end of the helper without waiting."""
         return bool(select.select([self._sock], [], [], 0.0)[0])
 
     def receive(self, timeout_s: float) -> ControlMessage:
         """Return the next message.
 
         Raises:
-            HelperProcessError: the helper has ended, or sends none within so many seconds.
+            HelperProcessError: the helper has ended, or sends no message within `timeout_s` seconds.
         """
         self._sock.settimeout(timeout_s)
         try:
@@ -104,7 +104,7 @@
         return HelperProcessError(f"{self.name}: {reason}\n{last_log_lines(self.log_file)}")
 
     def stop(self, timeout_s: float = 2.0) -> None:
-        """Close the connection, upon which the helper ends, and kill it after so many seconds."""
+        """Close the connection, which ends the helper; kill the helper if it still runs after `timeout_s`."""
         self._sock.close()
         try:
             self.process.wait(timeout_s)
@@ -114,7 +114,7 @@
 
 
 class ParentChannel:
-    """The connection to the parent, on the side of the helper."""
+    """The connection of a helper to its parent."""
 
     def __init__(self, loop: EventLoop, on_message: Callable[[ControlMessage], None]) -> None:
         self._sock = socket.socket(fileno=int(sys.argv[1]))
@@ -124,7 +124,7 @@
         loop.register(self._sock, READ, self._on_ready)
 
     def send(self, message: ControlMessage) -> None:
-        """Send a message, which is short enough to be accepted at once."""
+        """Send a message, which must fit into the socket buffer."""
         self._sock.sendall(json.dumps(message).encode() + b"\n")
 
     def _on_ready(self, _mask: int) -> None:
@@ -139,28 +139,28 @@
 
 
 def raise_descriptor_limit() -> None:
-    """Raise the limit of file descriptors to the hard limit."""
+    """Raise the soft limit of file descriptors to the hard limit."""
     hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
 
 
 def freeze_garbage_collector() -> None:
-    """Exclude all present objects from garbage collection, and collect seldom."""
+    """Exclude all existing objects from garbage collection, and collect rarely."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(50_000, 20, 50)
 
 
 def write_result(path: str, result: object) -> None:
-    """Write a result for the parent."""
+    """Write a result file for the parent."""
     Path(path).write_bytes(pickle.dumps(result))
 
 
 def read_result(path: Path, kind: type[Any]) -> Any:
-    """Read a helper's result.
+    """Read the result file of a helper.
 
     Raises:
-        HelperProcessError: the file holds something else.
+        HelperProcessError: the file holds no instance of `kind`.
     """
     result = pickle.loads(path.read_bytes())
     if not isinstance(result, kind):
--- a/rosepick/lab/live/live_context.py
+++ b/rosepick/lab/live/live_context.py
@@ -1,4 +1,4 @@
-"""What the servers of a live run need from the run, so that they do not depend on the run itself."""
+"""Defines what the servers of a live run require from the run, so that they do not depend on its class."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class NodeAddresses(Protocol):
-    """A node and its listeners, one for each zone that routers are in."""
+    """A node and its listeners, one for each zone of routers."""
 
     @property
     def node(self) -> SimulatedNode:
@@ -31,7 +31,7 @@
 
 
 class LiveContext(Protocol):
-    """The run as its servers see it. Times are milliseconds."""
+    """The interface of a live run to its servers. Times are milliseconds."""
 
     loop: EventLoop
     budget: ResourceBudget
@@ -44,20 +44,20 @@
 
     @property
     def node_servers(self) -> Mapping[int, NodeAddresses]:
-        """The node servers by the number of their node."""
+        """The node servers by node number."""
 
     def call_after(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Call after so many milliseconds of the run."""
+        """Call `callback` after `delay_ms` milliseconds of the run."""
 
     def record_attempt(
         self, node: SimulatedNode, zone: int, name: str, first_byte_at: float
     ) -> NodeAttemptRecord:
-        """Record that a request of a router in that zone has arrived whole at a node."""
+        """Record that a request from a router in `zone` has arrived completely at a node."""
 
     def to_node_request(
         self, node: SimulatedNode, message: HttpRequest, name: str, reply: ReplyCallback
     ) -> NodeRequest:
-        """Return the model's request for a message."""
+        """Return the model's request for an HTTP request."""
 
     def on_node_reply(
         self, node: SimulatedNode, node_request: NodeRequest, result: Result, cache_status: int
--- a/rosepick/lab/live/live_faults.py
+++ b/rosepick/lab/live/live_faults.py
@@ -1,4 +1,4 @@
-"""Injectors of the faults that only sockets have, by their names in an experiment's file."""
+"""Injects the faults that exist only on sockets, by their names in experiment files."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
     @property
     def node_servers(self) -> Mapping[int, NodeServer]:
-        """The node servers by the number of their node."""
+        """The node servers by node number."""
 
     @property
     def discovery_server(self) -> DiscoveryServer:
@@ -45,7 +45,7 @@
 
 
 def _response_share_fault(shares_of: Callable[[NodeServer], list[float]]) -> InjectFault:
-    """Affect a share of the responses of some nodes; of all nodes and the origin if none is named."""
+    """Return an injector for a share of the responses of the named nodes, or of all nodes and the origin."""
 
     def inject(simulation: Simulation, fault: FaultConfig) -> InjectedFault:
         servers = _node_servers_of(simulation, choose_nodes_or_all(simulation, fault))
@@ -61,15 +61,17 @@
     return inject
 
 
-def _turn_calls_away(simulation: Simulation, fault: FaultConfig) -> InjectedFault:
-    """Have discovery turn a share of all calls away at once, as for too many callers."""
+def _reject_calls(simulation: Simulation, fault: FaultConfig) -> InjectedFault:
+    """Make discovery reject a share of all calls at once, as with too many callers."""
     discovery = cast(HasNodeServers, simulation).discovery_server
-    discovery.busy_shares.append(fault.share)
-    return InjectedFault(f"{fault.share:.0%} of calls", lambda: discovery.busy_shares.remove(fault.share))
+    discovery.rejection_shares.append(fault.share)
+    return InjectedFault(
+        f"{fault.share:.0%} of calls", lambda: discovery.rejection_shares.remove(fault.share)
+    )
 
 
 def _delay_answers(simulation: Simulation, fault: FaultConfig) -> InjectedFault:
-    """Have discovery answer first calls of a watch, which do not wait, so many seconds later."""
+    """Make discovery delay its answers to calls that do not wait, the first calls of a watch."""
     discovery = cast(HasNodeServers, simulation).discovery_server
     discovery.extra_answer_delays_ms.append(1000.0 * fault.by)
     return InjectedFault(
@@ -78,7 +80,7 @@
 
 
 def _signal_routers(_simulation: Simulation, fault: FaultConfig) -> InjectedFault:
-    """Nothing to inject here: the process that started the routers signals them."""
+    """Inject nothing here, as the process that started the routers sends the signals."""
     return InjectedFault(f"{fault.routers or 'all'} routers", no_revert)
 
 
@@ -93,6 +95,6 @@
     "drip": _response_share_fault(lambda server: server.drip_shares),
     "reload": _signal_routers,
     "router_pause": _signal_routers,
-    "discovery_busy": _turn_calls_away,
+    "discovery_busy": _reject_calls,
     "discovery_slow": _delay_answers,
 }
--- a/rosepick/lab/live/live_run.py
+++ b/rosepick/lab/live/live_run.py
@@ -1,6 +1,7 @@
-"""Runs an experiment on sockets: stand-ins, clients and real routers, in processes of their own.
+"""Runs an experiment on sockets: stand-ins, clients and real routers in separate processes.
 
-A run is void if the processes of stand-ins or clients were late: it then measured the machine, not routers.
+A run is void if the processes of the stand-ins or clients were late: its figures then describe the load of
+the machine, not the routers.
 """
 
 from __future__ import annotations
@@ -32,17 +33,17 @@
 from .run_records import LoadResults, RouterDowntime, StandInResults
 
 POLICY = "rosepick"
-SET_UP_TIMEOUT_S = 60.0  # for drawing all requests
-START_DELAY_S = 0.25  # from when all processes are ready until the run begins
+SET_UP_TIMEOUT_S = 60.0  # includes the time in which the helpers draw all requests
+START_DELAY_S = 0.25  # from the time when all processes are ready to the start of the run
 POLL_INTERVAL_S = 0.005
 SERVING_POLL_INTERVAL_S = 0.02
-SERVING_TIMEOUT_S = 0.02  # of one look during the run: a router that is stopped must not hold its schedule up
-RELOAD_TIMEOUT_S = 0.2  # of the look before a reload
-MAX_FAULT_LATE_S = 0.25  # a run with a fault that came later says nothing
+SERVING_TIMEOUT_S = 0.02  # of one check: a router that does not answer must not delay the schedule of the run
+RELOAD_TIMEOUT_S = 0.2  # of the check that a router serves before it is reloaded
+MAX_FAULT_LATE_S = 0.25  # a run is void if a fault begins this much after its scheduled time
 PROGRESS_INTERVAL_S = 0.1
 DONE_TIMEOUT_S = 1.0
-FINISH_GRACE_S = 5.0  # after the last deadline, until the clients must be done
-ROUTER_STOP_GRACE_S = 3.0  # beyond the longest deadline, until a router must have ended
+FINISH_GRACE_S = 5.0  # time for the clients to finish after the last deadline
+ROUTER_STOP_GRACE_S = 3.0  # time for a router to end after SIGTERM, in addition to the longest deadline
 
 
 def run_live(
@@ -51,7 +52,7 @@
     changes: dict[str, Any],
     progress: Callable[[float], None] | None = None,
 ) -> tuple[RunResult, RunCost]:
-    """Run an experiment in real time. All processes are ended whatever happens.
+    """Run an experiment in real time. All processes are ended also after an error.
 
     Raises:
         HelperProcessError: stand-ins, clients or a router fail to start or to end.
@@ -65,7 +66,7 @@
 
 @contextmanager
 def open_live_run(experiment: Experiment, seed: int) -> Iterator[LiveRun]:
-    """Open a run. Its processes are ended and its folder is removed whatever happens."""
+    """Open a run; on exit its processes are ended and its folder is removed, also after an error."""
     with (
         tempfile.TemporaryDirectory("", "rosepick-live-", ignore_cleanup_errors=True) as folder,
         _interrupt_on_sigterm(),
@@ -79,7 +80,7 @@
 
 @contextmanager
 def _interrupt_on_sigterm() -> Iterator[None]:
-    """Let SIGTERM end the run as Ctrl-C does, so that no process is left behind."""
+    """Handle SIGTERM like Ctrl-C while the context is open, so that no process is left running."""
 
     def interrupt(_number: int, _frame: FrameType | None) -> None:
         raise KeyboardInterrupt
@@ -96,31 +97,31 @@
 
 @dataclass(frozen=True, slots=True)
 class UnexpectedExit:
-    """A router that ended without a signal, or did not end after one."""
+    """A router process that ended without a signal, or did not end after one."""
 
-    at_s: float  # since the run's begin
+    at_s: float  # since the start of the run
     router: str
     text: str
 
 
 class LiveRun:
-    """The processes of one run."""
+    """Starts, monitors and stops the processes of one run."""
 
     def __init__(self, experiment: Experiment, seed: int, folder: Path) -> None:
         self.experiment = experiment
         self.seed = seed
         self.folder = folder
         self.requests = request_schedule.schedule_requests(experiment, seed)
-        self.started_at_ms = 0.0  # of the monotonic clock
+        self.started_at_ms = 0.0  # on the monotonic clock
         self.router_downtimes: list[RouterDowntime] = []
         self.unexpected_exits: list[UnexpectedExit] = []
         self.routers: list[LiveRouter] = []
-        self.process_starts: list[ProcessStart] = []  # of each router; empty: as usual
-        self.fault_late_s = 0.0  # how late a step of the schedule was at most
-        self.held_up_ms = 0.0  # for how long a router may be held up, as by pauses; its answers are as late
+        self.process_starts: list[ProcessStart] = []  # for each router; empty for the default
+        self.fault_late_s = 0.0  # the largest lateness of a scheduled fault
+        self.held_up_ms = 0.0  # the longest pause of a router, by which answers may be late
         self.helpers: list[HelperProcess] = []
         self._discovery_ports: list[int] = []
-        self._known_endpoints: list[dict[str, Any]] = []  # cached lists, by zone
+        self._known_endpoints: list[dict[str, Any]] = []  # cached endpoint lists by zone
         self._timeline: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = count()
         self._reported_pids: set[int] = set()
@@ -140,7 +141,7 @@
         return helper
 
     def set_up(self) -> None:
-        """Start all processes, and wait until they are ready."""
+        """Start all processes, wait until they are ready, and start the run."""
         stand_ins = self._start_helper("stand_ins", self._initial_message("stand_ins"))
         ready = stand_ins.receive(SET_UP_TIMEOUT_S)
         self._discovery_ports = ready["discovery"]
@@ -163,7 +164,7 @@
             self._schedule_fault(fault)
 
     def _schedule_fault(self, fault: FaultConfig) -> None:
-        """Schedule a fault of routers, which affects the first ones as in simulated time."""
+        """Schedule a fault of the first `fault.routers` routers, which are affected as in simulated time."""
         affected = self.routers[: fault.routers or 1]
         if fault.kind == "router_kill":
             self._schedule(fault.at, lambda: self._kill_routers(affected, fault.last))
@@ -177,7 +178,7 @@
     # ----------------------------------------------------------------------------------------- the run
 
     def _schedule(self, at_s: float, callback: Callable[[], None]) -> None:
-        """Schedule a callback so many seconds after the run's begin."""
+        """Schedule a callback `at_s` seconds after the start of the run."""
         heapq.heappush(self._timeline, (at_s, next(self._sequence), callback))
 
     def _elapsed_s(self) -> float:
@@ -187,7 +188,7 @@
         """Wait until all requests have ended.
 
         Raises:
-            HelperProcessError: a helper ended, or the clients are not done in time.
+            HelperProcessError: a helper ended, or the clients do not finish in time.
         """
         end_s = self.experiment.length + self._longest_deadline_s()
         next_progress_s = 0.0
@@ -198,7 +199,7 @@
                 next_progress_s = self._elapsed_s() + PROGRESS_INTERVAL_S
                 progress(max(0.0, min(1.0, self._elapsed_s() / end_s)))
             if self._elapsed_s() >= end_s + FINISH_GRACE_S:
-                raise HelperProcessError("the clients do not come to their end")
+                raise HelperProcessError("the clients did not finish in time")
         clients.receive(DONE_TIMEOUT_S)
         stand_ins.send({"end": True})
         stand_ins.receive(SET_UP_TIMEOUT_S)
@@ -225,7 +226,7 @@
                 is_unexpected = process.has_ended() and not process.stop_requested
                 if is_unexpected and process.pid not in self._reported_pids:
                     self._reported_pids.add(process.pid)
-                    text = f"ended unasked with status {process.status}"
+                    text = f"ended unexpectedly with status {process.status}"
                     self.unexpected_exits.append(UnexpectedExit(self._elapsed_s(), router.name, text))
                     print(f"{router.name} {text}\n{last_log_lines(router.log_file)}", file=sys.stderr)
 
@@ -245,7 +246,7 @@
             self._start_later(router, down_s)
 
     def _pause_routers(self, routers: list[LiveRouter], pause_s: float) -> None:
-        """Hold routers up: they do nothing for so many seconds."""
+        """Stop routers with SIGSTOP, and continue them after `pause_s` seconds."""
         for router in routers:
             router.signal(signal.SIGSTOP)
         self._schedule(self._elapsed_s() + pause_s, lambda: self._continue_routers(routers))
@@ -258,19 +259,19 @@
     def _start_later(self, router: LiveRouter, delay_s: float) -> None:
         def start() -> None:
             self.helpers[0].send({"ended": router.index})
-            router.start(self._restart_list(router))
+            router.start(self._last_endpoint_list(router))
             self._await_serving(router)
 
         self._schedule(self._elapsed_s() + delay_s, start)
 
-    def _restart_list(self, router: LiveRouter) -> dict[str, Any]:
-        """Return the list that a restarted router is configured with: what it had last, which may be old."""
+    def _last_endpoint_list(self, router: LiveRouter) -> dict[str, Any]:
+        """Return the last, possibly stale, endpoint list of a router, with which its next process starts."""
         zone = router.index % len(self._known_endpoints)
         port = self._discovery_ports[self.experiment.routers.count + zone]
         return fetch_endpoint_document(port, self._known_endpoints[zone], router.index)
 
     def _await_serving(self, router: LiveRouter) -> None:
-        """Tell the stand-ins when a process that has been started serves."""
+        """Notify the stand-ins when a started process serves."""
         if router.is_serving(SERVING_TIMEOUT_S):
             self.helpers[0].send({"serving": router.index})
         else:
@@ -279,7 +280,7 @@
     @staticmethod
     def _reload_routers(routers: list[LiveRouter]) -> None:
         for router in routers:
-            if router.is_serving(RELOAD_TIMEOUT_S):  # a router that is starting would end by the signal
+            if router.is_serving(RELOAD_TIMEOUT_S):  # SIGHUP would end a router that is still starting
                 router.signal(signal.SIGHUP)
 
     # ------------------------------------------------------------------------------------------- results
@@ -295,7 +296,7 @@
                 router.kill()
 
     def result(self, changes: dict[str, Any]) -> tuple[RunResult, RunCost]:
-        """End the routers, and combine what all processes recorded."""
+        """Stop the routers and combine the records of all processes."""
         self._stop_routers()
         stand_in_results: StandInResults = read_result(self.folder / "stand_ins.result", StandInResults)
         load_results: LoadResults = read_result(self.folder / "generator.result", LoadResults)
@@ -308,7 +309,7 @@
             requests=offered,
             cpu_s=routers_cpu_s + stand_in_results.cpu_s + load_results.cpu_s,
             events=stand_in_results.events,
-            decide_us=1e6 * routers_cpu_s / max(1, offered),  # all of the routers' CPU time
+            decide_us=1e6 * routers_cpu_s / max(1, offered),  # the whole CPU time of the routers
             memory_mb=max(router.memory_mb() for router in self.routers),
         )
 
@@ -362,7 +363,7 @@
         return "; ".join(filter(None, reasons))
 
     def close(self) -> None:
-        """End all processes. Signals are blocked meanwhile, so that no process is left behind."""
+        """End all processes, with signals blocked meanwhile, so that no process is left running."""
         signals = {signal.SIGINT, signal.SIGTERM}
         previous = signal.pthread_sigmask(signal.SIG_BLOCK, signals)
         try:
--- a/rosepick/lab/live/live_simulation.py
+++ b/rosepick/lab/live/live_simulation.py
@@ -1,4 +1,4 @@
-"""The simulation of a live run: the model's nodes, origin and discovery, served on sockets."""
+"""Serves the model's nodes, origin and discovery on sockets."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 from .run_records import NodeAttemptRecord
 
 LISTENER_UPDATE_INTERVAL_MS = 5.0
-SWEEP_INTERVAL_MS = 500.0  # between two closings of idle connections
-START_DELAY_MS = 1_000.0  # about how long after its set-up the run begins
-DESCRIPTOR_LIMIT = 1_000_000  # practically none
+SWEEP_INTERVAL_MS = 500.0  # interval at which idle connections are closed
+START_DELAY_MS = 1_000.0  # estimate of the time from set-up to the start of the run
+DESCRIPTOR_LIMIT = 1_000_000  # effectively unlimited
 
 
 class LiveSimulation(Simulation):
-    """Nodes, origin and discovery of one run on one event loop, in real time."""
+    """Runs the nodes, the origin and discovery of a run on one event loop, in real time."""
 
     def __init__(self, loop: EventLoop, experiment: Experiment, seed: int, measure: Measure) -> None:
         self.loop = loop
@@ -59,18 +59,18 @@
         self.discovery = self.discovery_server
 
     def _is_listed(self, node: SimulatedNode) -> bool:
-        """Return whether routers know a node; in through mode they do not know the origin."""
+        """Return whether the endpoint list has a node; in read-through mode it has no origin."""
         return node.kind != ORIGIN_KIND or self.experiment.mode == "aside"
 
     def start_at(self, at: float) -> None:
-        """Begin the run at a time of the loop."""
+        """Start the run at time `at` of the event loop, in milliseconds."""
         self.unix_start_ms = 1000.0 * time.time() + at - self.loop.now()
         fault_schedule.schedule_faults(self, LIVE_FAULT_INJECTORS)
         self.kernel.call_after(SAMPLE_INTERVAL_MS, self._sample_load)
         self.real_time_kernel.start(at)
 
     def open(self) -> None:
-        """Accept connections from now on."""
+        """Start to accept connections."""
         self._update_listeners()
         self._close_idle_connections()
         self.discovery_server.open()
@@ -88,17 +88,17 @@
         self.node_servers[node.number] = NodeServer(self, node)
 
     def add_router(self, _index: int) -> SimulatedRouter:
-        """Add nothing: routers are processes of their own."""
+        """Add nothing, as routers are separate processes."""
         return cast(SimulatedRouter, None)
 
     def kill_router(self, index: int, down_ms: float | None) -> None:
-        """Do nothing: the process that started the routers kills them."""
+        """Do nothing, as the process that started the routers kills them."""
 
     def _on_connections_lost(self, node: SimulatedNode) -> None:
         self.node_servers[node.number].reset_all()
 
     def start_time_of(self, node: SimulatedNode) -> float:
-        """Return when a node started, in milliseconds since the run's begin."""
+        """Return when a node started, in milliseconds since the start of the run."""
         return node.machine.started_at
 
     def _update_listeners(self) -> None:
@@ -113,7 +113,7 @@
             server.close_idle(now)
 
     def call_after(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Schedule a callback after so many milliseconds of the run."""
+        """Schedule a callback after `delay_ms` milliseconds of the run."""
         self.kernel.call_after(delay_ms, callback)
 
     # ---------------------------------------------------------------------------------- attempts
@@ -121,7 +121,7 @@
     def record_attempt(
         self, node: SimulatedNode, zone: int, name: str, first_byte_at: float
     ) -> NodeAttemptRecord:
-        """Record that a request of a router in a zone has arrived completely at a node."""
+        """Record that a request from a router in `zone` has arrived completely at a node."""
         request = find_request(self.scheduled_requests, name)
         drain_known_since = None
         if request is not None:
@@ -147,7 +147,7 @@
     def to_node_request(
         self, node: SimulatedNode, message: HttpRequest, name: str, reply: ReplyCallback
     ) -> NodeRequest:
-        """Return the model's request for a message. One that is not scheduled is of the first class."""
+        """Return the model's request for an HTTP request; an unscheduled one belongs to the first class."""
         request = find_request(self.scheduled_requests, name)
         write = message.method == b"PUT"
         if request is None:
@@ -176,7 +176,7 @@
     def on_node_reply(
         self, node: SimulatedNode, node_request: NodeRequest, result: Result, cache_status: int
     ) -> None:
-        """Record a node's reply, and store fetched values at cache nodes."""
+        """Record a node's reply, and store values fetched from the origin at cache nodes."""
         if cache_status:
             self._count_event("hits" if cache_status == CACHE_HIT else "misses")
         if result is Result.MISS and isinstance(node, SimulatedCacheNode):
--- a/rosepick/lab/live/node_server.py
+++ b/rosepick/lab/live/node_server.py
@@ -1,4 +1,4 @@
-"""Serves a node of the model on sockets: its listeners and connections."""
+"""Serves a node of the model on sockets."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
 logger = logging.getLogger(__name__)
 DECLINED_HEADER = (b"Srv-Declined", b"1")
-_LINGER_RESET = struct.pack("ii", 1, 0)  # of SO_LINGER: a close resets the connection
+_LINGER_RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close resets the connection
 
 
 class NodeServer:
     """The server of a cache node or of the origin.
 
-    It has a listener for each zone that routers are in, so that a partition also affects new connections.
+    The server has a listener for each zone of routers, so that a partition also affects new connections.
     """
 
     def __init__(self, simulation: LiveContext, node: SimulatedNode) -> None:
         self.simulation = simulation
         self.node = node
-        self.refusal_count = 0  # active faults by which connections are refused
-        # shares of responses, by each active fault; the worst one counts
+        self.refusal_count = 0  # number of active faults that refuse connections
+        # shares of responses, one for each active fault; the largest one applies
         self.garbage_shares: list[float] = []
         self.drip_shares: list[float] = []
         self.connections: dict[NodeConnection, None] = {}
@@ -45,10 +45,10 @@
         self.listeners: list[ControllableListener] = [
             ControllableListener(simulation.loop, self._accept_handler(zone)) for zone in zones
         ]
-        self._fate_stream = UniformStream(simulation.seed, f"answers of {node.uid}")
+        self._fault_stream = UniformStream(simulation.seed, f"answers of {node.uid}")
 
     def update_listeners(self) -> None:
-        """Set the state of the listeners by that of the node."""
+        """Set the state of the listeners according to the state of the node."""
         node = self.node
         is_shut = not node.machine.up or node.state is Status.REMOVED or self.refusal_count > 0
         for zone, listener in enumerate(self.listeners):
@@ -58,11 +58,11 @@
                 listener.set_state("open" if self.is_reachable_from(zone) else "mute")
 
     def is_reachable_from(self, zone: int) -> bool:
-        """Return whether messages pass between the node and a zone."""
+        """Return whether the network connects the node with a zone and the node is not silent."""
         return not self.node.silent and self.simulation.network.is_connected(zone, self.node.zone)
 
     def close_idle(self, now: float) -> None:
-        """Close connections that were idle for too long."""
+        """Close connections that have been idle for `CONNECTION_IDLE_MS`; `now` is the time of the run."""
         if self.node.silent:
             return
         for connection in list(self.connections):
@@ -70,7 +70,7 @@
                 connection.close()
 
     def reset_all(self) -> None:
-        """Reset all connections, as the process has ended."""
+        """Refuse new connections and reset all others, as after the end of a process."""
         for listener in self.listeners:
             listener.set_state("shut")
         for connection in list(self.connections):
@@ -90,14 +90,14 @@
 
     def _on_connection(self, sock: socket.socket, zone: int) -> None:
         """Handle a new connection of a router in a zone."""
-        with contextlib.suppress(OSError):  # the peer has gone already
+        with contextlib.suppress(OSError):  # the peer has already disconnected
             connection = NodeConnection(self, sock, zone)
             self.connections[connection] = None
-            if not self.node.machine.up:  # it crashed by this connection
+            if not self.node.machine.up:  # this connection made the node crash
                 connection.reset()
 
     def send_response(self, connection: NodeConnection, data: bytes, result: Result) -> None:
-        """Send a response, or what a fault makes of it.
+        """Send a response, with the faults that are active.
 
         Raises:
             OSError: the connection broke.
@@ -106,9 +106,9 @@
         garbage_share = max(self.garbage_shares, default=0.0)
         drip_share = max(self.drip_shares, default=0.0)
         reset_share = self.node.reset_share
-        draw = self._fate_stream() if garbage_share or drip_share or reset_share else 1.0
+        draw = self._fault_stream() if garbage_share or drip_share or reset_share else 1.0
         if result is Result.RESET:
-            lose_connection = losses[int(self._fate_stream() * len(losses))]
+            lose_connection = losses[int(self._fault_stream() * len(losses))]
             lose_connection(connection, data)
         elif draw < garbage_share:
             response_faults.send_malformed_response(connection, int(draw * 1e6))
@@ -122,7 +122,7 @@
 
 
 class NodeConnection:
-    """One connection of a router to a node, which handles one request at a time."""
+    """A connection of a router to a node, which handles one request at a time."""
 
     def __init__(self, server: NodeServer, sock: socket.socket, zone: int) -> None:
         self.server = server
@@ -133,7 +133,7 @@
         self._reader = RequestReader()
         self._pipelined: deque[HttpRequest] = deque()
         self._request: NodeRequest | None = None
-        self._first_byte_at = 0.0  # when the present request began
+        self._first_byte_at = 0.0  # when the first byte of the current request arrived
         self._keep_alive = True
         self._epoch = self.node.epoch
         self._has_slot = self.node.connect() is ConnectOutcome.ACCEPTED
@@ -142,7 +142,7 @@
         )
 
     def call_after(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Call back after so many milliseconds of the run."""
+        """Call `callback` after `delay_ms` milliseconds of the run."""
         self.server.simulation.call_after(delay_ms, callback)
 
     def is_idle(self) -> bool:
@@ -163,7 +163,7 @@
         except OSError:
             self._on_peer_closed()
         except Exception as error:
-            # the connection must end: its socket may stay ready and raise the same error without end
+            # close the connection: its socket may stay ready and raise the same error again and again
             self.server.simulation.loop.fault_count += 1
             log_exception(logger, "node_server_fault", error, node=self.node.uid)
             self._on_peer_closed()
@@ -222,7 +222,7 @@
             self.node.on_request(request)
 
     def _on_reply(self, result: Result, cache_status: int) -> None:
-        """Handle that the node has sent its reply."""
+        """Handle the reply of the node."""
         simulation = self.server.simulation
         request = self._request
         if request is None:
@@ -241,7 +241,7 @@
         self.run_guarded(lambda: self.server.send_response(self, data, result))
 
     def finish_attempt(self, result: Result) -> None:
-        """End the present attempt, as the node observes it."""
+        """Record the end of the current attempt, and start the next pipelined request."""
         attempt = self.attempt
         self.attempt = None
         self._request = None
@@ -255,20 +255,20 @@
             self.server.simulation.call_after(0.0, self._start_next_request)
 
     def _on_peer_closed(self) -> None:
-        """Handle that the router closed the connection, or that it broke."""
+        """Handle a connection that the router closed or that failed."""
         self._cancel_request(Result.CANCELLED)
         self.close()
 
     def _cancel_request(self, result: Result) -> None:
-        """Cancel the present request."""
+        """Cancel the current request."""
         request = self._request
         if request is not None:
             self.node.on_cancelled(request)
-        self._keep_alive = True  # the sending half needs no shutdown any more
+        self._keep_alive = True  # so that finish_attempt does not shut down the sending half
         self.finish_attempt(result)
 
     def reset(self) -> None:
-        """Close the connection so that the router gets a reset."""
+        """Close the connection with a reset."""
         if self.stream.is_open:
             with contextlib.suppress(OSError):
                 self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
@@ -287,7 +287,7 @@
 
 
 def _encode_response(request: NodeRequest, result: Result, cache_status: int) -> bytes:
-    """Return the bytes of a response, also if a fault will send only a part of them."""
+    """Return the bytes of a response, complete even if a fault will send only part of them."""
     cache_header = ((b"Srv-Cache", b"hit" if cache_status == CACHE_HIT else b"miss"),) if cache_status else ()
     if result in (Result.OK, Result.RESET):
         return encode_response(200, b"" if request.write else b"v" * request.size, cache_header)
--- a/rosepick/lab/live/process_start.py
+++ b/rosepick/lab/live/process_start.py
@@ -1,4 +1,4 @@
-"""How a router process is started: by which module, and with what beside the usual environment."""
+"""Defines the options with which a router process is started."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessStart:
-    """The module that is run in place of the program, additional environment variables and arguments."""
+    """The module to run in place of the program, additional environment variables and arguments."""
 
     module: str = "rosepick"
     environment: Mapping[str, str] = field(default_factory=dict)
-    arguments: tuple[str, ...] = ()  # of `serve`
+    arguments: tuple[str, ...] = ()  # of the command `serve`
--- a/rosepick/lab/live/real_time_kernel.py
+++ b/rosepick/lab/live/real_time_kernel.py
@@ -1,7 +1,7 @@
-"""The model's kernel in real time: it is run up to now whenever the event loop has something for it.
+"""Runs the model's kernel in real time: before each callback it is advanced to the current time.
 
-Events see the time at which they were due, not at which the loop ran them, so that the model's work takes as
-long as in simulated time. The lateness of the loop is measured.
+Model events see their due time, not the time at which the event loop runs them, so that the model's work
+takes as long as in simulated time. A probe measures the lateness of the event loop.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 from .run_records import Lateness
 
 PROBE_INTERVAL_MS = 10.0
-EARLY_CALL_MS = 0.5  # events run so much early, as the selector waits for whole milliseconds, rounded up
+# events run this much before they are due, as the selector rounds its timeout up to whole milliseconds
+EARLY_CALL_MS = 0.5
 
 
 class LatenessProbe:
@@ -25,7 +26,7 @@
         self._lateness_ms: list[float] = []
 
     def start(self, at: float) -> None:
-        """Measure from a time of the loop on."""
+        """Start to measure at time `at` of the event loop, in milliseconds."""
         self._loop.call_at(at, lambda: self._measure(at))
 
     def _measure(self, due: float) -> None:
@@ -45,23 +46,23 @@
     def __init__(self, loop: EventLoop, kernel: Kernel) -> None:
         self.loop = loop
         self.kernel = kernel
-        self.started_at_ms = inf  # on the loop's clock; the kernel stands still before
+        self.started_at_ms = inf  # on the clock of the event loop; no model event runs before
         self.lateness_probe = LatenessProbe(loop)
         self._timer: ScheduledCall | None = None
         self._scheduled_for = inf
 
     def start(self, at: float) -> None:
-        """Begin the run at a time of the loop."""
+        """Start the run at time `at` of the event loop, in milliseconds."""
         self.started_at_ms = at
         self.lateness_probe.start(at)
         self._set_timer(at)
 
     def now(self) -> float:
-        """Return the time since the run's begin, in milliseconds."""
+        """Return the time since the start of the run in milliseconds; 0 before it."""
         return max(0.0, self.loop.now() - self.started_at_ms)
 
     def run_synced(self, callback: Callable[[], None]) -> None:
-        """Bring the model up to now, call back, and schedule the model's next event."""
+        """Advance the model to the current time, run `callback`, and schedule the model's next event."""
         self.kernel.run(self.now())
         try:
             callback()
--- a/rosepick/lab/live/request_reader.py
+++ b/rosepick/lab/live/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads requests of routers to a stand-in, and encodes responses."""
+"""Parses requests from routers and encodes responses to them."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class MalformedRequestError(Exception):
-    """The received bytes are no valid request."""
+    """The received bytes are not a valid request."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A complete request. Names of headers are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -28,15 +28,15 @@
     keep_alive: bool  # whether another request may follow on the connection
 
     def header_text(self, name: bytes) -> str:
-        """Return a header's value; empty if there is none."""
+        """Return the value of a header; empty if the request does not have it."""
         return self.headers.get(name, b"").decode("latin-1")
 
 
 class RequestReader:
-    """Reads the requests of one connection. The `on_` methods are the parser's callbacks."""
+    """Parses the requests of one connection. The `on_` methods are callbacks of the parser."""
 
     def __init__(self) -> None:
-        self.is_in_request = False  # a request has begun and is not complete
+        self.is_in_request = False  # whether a request has begun and is not complete
         self._parser = httptools.HttpRequestParser(self)
         self._complete: list[HttpRequest] = []
         self._target = b""
@@ -45,10 +45,10 @@
         self._header_bytes = 0
 
     def feed(self, data: bytes) -> list[HttpRequest]:
-        """Read bytes, and return the requests that they complete.
+        """Parse received bytes, and return the requests that they complete.
 
         Raises:
-            MalformedRequestError: the bytes are no valid request.
+            MalformedRequestError: the bytes are not a valid request.
         """
         try:
             self._parser.feed_data(data)
@@ -61,7 +61,7 @@
     # ------------------------------------------------------------------------------ callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Start a new request."""
         self._target = b""
         self._headers = {}
         self._body = bytearray()
@@ -69,12 +69,12 @@
         self.is_in_request = True
 
     def on_url(self, part: bytes) -> None:
-        """Read a part of the target."""
+        """Add a part of the target."""
         self._target += part
         self._count_header_bytes(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Read a header; the first of a name counts."""
+        """Add a header; the first one of a name takes precedence."""
         self._headers.setdefault(name.lower(), value)
         self._count_header_bytes(len(name) + len(value))
 
@@ -84,13 +84,13 @@
             raise MalformedRequestError("headers too long")
 
     def on_body(self, part: bytes) -> None:
-        """Read a part of the body."""
+        """Add a part of the body."""
         self._body += part
         if len(self._body) > MAX_BODY_BYTES:
             raise MalformedRequestError("body too long")
 
     def on_message_complete(self) -> None:
-        """Complete a request."""
+        """Add the complete request to the result of `feed`."""
         self.is_in_request = False
         self._complete.append(
             HttpRequest(
@@ -104,7 +104,7 @@
 
 
 def encode_response(status: int, body: bytes = b"", extra_headers: ResponseHeaders = ()) -> bytes:
-    """Return a complete response."""
+    """Return the bytes of a complete response."""
     lines = [b"HTTP/1.1 %d %s" % (status, REASON_PHRASES[status]), b"Content-Length: %d" % len(body)]
     lines += [name + b": " + value for name, value in extra_headers]
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
--- a/rosepick/lab/live/request_schedule.py
+++ b/rosepick/lab/live/request_schedule.py
@@ -1,4 +1,4 @@
-"""The requests of a live run, drawn before it starts: the same as in a simulated run, in each process."""
+"""Draws the requests of a live run before it starts, the same in each process and in simulated time."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _TrafficChange:
-    """A change of the traffic by a fault."""
+    """A change of the traffic at the start or end of a fault."""
 
     at_ms: float
     apply: Callable[[], None]
 
 
 def schedule_requests(experiment: Experiment, seed: int) -> list[ScheduledRequest]:
-    """Return all requests in the order in which they are due.
+    """Return all requests in the order of their due times.
 
     Raises:
         ExperimentError: a trace file cannot be used.
@@ -31,14 +31,14 @@
     requests: list[ScheduledRequest] = []
     for request in workload:
         requests.append(request)
-        # the next request is drawn when this one is due, as in simulated time
+        # as in simulated time, the next request is drawn when this one is due
         while changes and changes[0].at_ms <= request.due_ms:
             changes.pop(0).apply()
     return requests
 
 
 def _traffic_changes(experiment: Experiment, workload: Workload) -> list[_TrafficChange]:
-    """Return the begin and end of all faults that change the traffic, in order."""
+    """Return the changes at the start and end of all faults that change the traffic, in order of time."""
     changes: list[_TrafficChange] = []
     for fault in experiment.troubles:
         if fault.kind not in TRAFFIC_FAULTS:
@@ -53,12 +53,12 @@
 
 
 def request_id_of(request: ScheduledRequest, send_count: int) -> str:
-    """Return the Req-Id of a sending of a request; `send_count` counts from 1."""
+    """Return the Req-Id for the `send_count`-th sending of a request, from 1 on."""
     return f"{request.number}.{send_count}"
 
 
 def find_request(schedule: list[ScheduledRequest], request_id: str) -> ScheduledRequest | None:
-    """Return the request of a Req-Id, or None if it is not of this schedule."""
+    """Return the request with a Req-Id, or None if the schedule does not contain it."""
     number, dot, _ = request_id.partition(".")
     if not dot or not number.isascii() or not number.isdigit() or int(number) >= len(schedule):
         return None
--- a/rosepick/lab/live/response_faults.py
+++ b/rosepick/lab/live/response_faults.py
@@ -1,4 +1,4 @@
-"""Faults of responses that only sockets have: resets, half closes, malformed bytes, slow bytes."""
+"""Implements response faults that exist only on sockets: resets, half-closes, malformed or slow responses."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 
 class FaultyConnection(Protocol):
-    """A connection of a node server, as far as a fault needs it."""
+    """The interface of a node server's connection that faults use."""
 
     stream: TcpStream
     attempt: NodeAttemptRecord | None
 
     def finish_attempt(self, result: Result) -> None:
-        """End the attempt in hand."""
+        """Record the end of the current attempt."""
 
     def reset(self) -> None:
-        """Close the connection so that the other side gets a reset."""
+        """Close the connection with a reset."""
 
     def run_guarded(self, step: Callable[[], None]) -> None:
-        """Take a step; the connection ends if it broke."""
+        """Run a step, and close the connection if the step fails."""
 
     def call_after(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Call after so many milliseconds of the run."""
+        """Call `callback` after `delay_ms` milliseconds of the run."""
 
 
-RESET_DELAY_MS = 1.0  # from sending to a reset, which would discard unsent bytes
-DRIP_INTERVAL_MS = 50.0  # from one byte of a slow response to the next
+RESET_DELAY_MS = 1.0  # delay between sending and a reset, as a reset discards unsent bytes
+DRIP_INTERVAL_MS = 50.0  # interval between two bytes of a slow response
 MALFORMED_RESPONSES = (
     b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03" + bytes(range(64)),
     b"HTTP/1.1 2OO OK\r\n\r\n",
@@ -42,7 +42,7 @@
 
 
 def reset_before_response(connection: FaultyConnection, _data: bytes) -> None:
-    """Reset the connection before anything of the response is sent."""
+    """Reset the connection before any byte of the response is sent."""
     connection.finish_attempt(Result.RESET)
     connection.reset()
 
@@ -55,7 +55,7 @@
 
 
 def half_close_connection(connection: FaultyConnection, _data: bytes) -> None:
-    """Close the sending half without a response, and go on reading."""
+    """Close the sending half without a response, and continue to read."""
     connection.finish_attempt(Result.RESET)
     connection.stream.shutdown_write()
 
@@ -68,14 +68,14 @@
 
 
 def send_malformed_response(connection: FaultyConnection, kind: int) -> None:
-    """Send bytes that are no response, then close the sending half."""
+    """Send a malformed response, then close the sending half."""
     connection.stream.send(MALFORMED_RESPONSES[kind % len(MALFORMED_RESPONSES)])
     connection.finish_attempt(Result.RESET)
     connection.stream.shutdown_write()
 
 
 def drip_response(connection: FaultyConnection, data: bytes, result: Result) -> None:
-    """Send the response a byte at a time."""
+    """Send the response one byte at a time, every `DRIP_INTERVAL_MS`."""
     attempt = connection.attempt
 
     def send_byte(at: int) -> None:
@@ -90,7 +90,7 @@
     send_byte(0)
 
 
-# the ways to lose a connection
+# ways to lose a connection; `NodeServer` draws one of them
 CONNECTION_LOSSES: tuple[ConnectionLoss, ...] = (
     reset_before_response,
     reset_within_response,
--- a/rosepick/lab/live/router_config.py
+++ b/rosepick/lab/live/router_config.py
@@ -1,4 +1,4 @@
-"""Configuration files of an experiment's routers, with the settings of simulated routers."""
+"""Builds configuration documents for the routers of an experiment, with the settings of simulated routers."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from ..model.router_settings import router_settings_for
 from ..model.simulated_router import CONNECT_TIMEOUT_MS
 
-MACHINE_TYPES = ("std", "origin")  # names of machine types, by the model's kind of a node
-CONNECTION_IDLE_MS = 15_000.0  # after which a node closes an idle connection
+MACHINE_TYPES = ("std", "origin")  # names of machine types, indexed by the node kind of the model
+CONNECTION_IDLE_MS = 15_000.0  # a node closes a connection that is idle for this time
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,13 +21,13 @@
     name: str
     listen: str  # host:port
     discovery: str  # host:port of the discovery service
-    known_endpoints: dict[str, Any]  # the cached endpoint list, as discovery sends it
-    position: int = 0  # number of the router in the fleet
-    seed: int | None = None  # None: that of the experiment
+    known_endpoints: dict[str, Any]  # the cached endpoint list in the format of discovery
+    position: int = 0  # index of the router in the fleet
+    seed: int | None = None  # None: the seed of the experiment
 
 
 def router_config_document(experiment: Experiment, router: RouterInstance) -> dict[str, Any]:
-    """Return the configuration document of one router; times in it are milliseconds."""
+    """Return the configuration document of a router; its times are milliseconds."""
     seed = experiment.seed if router.seed is None else router.seed
     return {
         "name": router.name,
--- a/rosepick/lab/live/router_process.py
+++ b/rosepick/lab/live/router_process.py
@@ -1,4 +1,4 @@
-"""The router processes of a live run. A router keeps its port while it is down."""
+"""Starts and monitors the router processes of a live run. A router keeps its port while it is down."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 KILL_TIMEOUT_S = 5.0
 END_POLL_INTERVAL_S = 0.005
 CONNECT_TIMEOUT_S = 1.0
-UTIME_FIELD = 11  # of /proc/PID/stat, after the name of the command
-STIME_FIELD = 12
+UTIME_FIELD = 11  # index in /proc/PID/stat, counted after the command name
+STIME_FIELD = 12  # index in /proc/PID/stat, counted after the command name
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
 
 
 class RouterProcess:
-    """One process of a router."""
+    """A process of a router."""
 
     def __init__(self, config_file: Path, log_file: Path, process_start: ProcessStart) -> None:
         with log_file.open("ab") as log:
@@ -47,10 +47,10 @@
                 start_new_session=True,
             )
         self.pid = self._popen.pid
-        self.stop_requested = False  # by a signal
-        self.status: int | None = None  # the exit status, once it has ended
-        self.cpu_s = 0.0  # once it has ended
-        self.memory_mb = 0.0  # the largest sample
+        self.stop_requested = False  # whether SIGTERM or SIGKILL was sent
+        self.status: int | None = None  # exit status; None while the process runs
+        self.cpu_s = 0.0  # CPU time; 0 while the process runs
+        self.memory_mb = 0.0  # largest sample of resident memory
 
     def signal(self, number: int) -> None:
         """Send a signal, unless the process has ended."""
@@ -61,7 +61,7 @@
         os.kill(self.pid, number)
 
     def has_ended(self) -> bool:
-        """Return whether the process has ended, and record its status and CPU time if so."""
+        """Return whether the process has ended; if so, record its status and CPU time."""
         if self.status is None:
             pid, status, usage = os.wait4(self.pid, os.WNOHANG)
             if pid:
@@ -71,7 +71,7 @@
         return self.status is not None
 
     def _sample_memory(self) -> None:
-        """Sample the memory of the running process."""
+        """Sample the resident memory of the running process."""
         with contextlib.suppress(OSError, ValueError, IndexError):
             pages = int(Path(f"/proc/{self.pid}/statm").read_text("ascii").split()[1])
             self.memory_mb = max(self.memory_mb, pages * PAGE_KB / 1024.0)
@@ -85,9 +85,9 @@
 
 
 class LiveRouter:
-    """One router, with one process after another.
+    """A router, which runs as a sequence of processes.
 
-    While one ends, its successor may already start and wait for the port.
+    While a process ends, its successor may already start and wait for the port.
     """
 
     def __init__(
@@ -103,11 +103,11 @@
         self._config_file = folder / f"{self.name}.json"
         self._port_reservation = reserve_port()
         self.port = int(self._port_reservation.getsockname()[1])
-        self._start_cpu_s = 0.0  # CPU time of the last start
+        self._start_cpu_s = 0.0  # CPU time that the process had used when `wait_ready` returned
         self.process_start = ProcessStart()
 
     def start(self, known_endpoints: dict[str, Any]) -> None:
-        """Start a process with a cached endpoint list."""
+        """Start a process that is configured with a cached endpoint list."""
         router = router_config.RouterInstance(
             self.name,
             f"{HOST}:{self.port}",
@@ -124,7 +124,7 @@
         """Wait until the router serves.
 
         Raises:
-            HelperProcessError: its process ended, or it does not serve in time.
+            HelperProcessError: the router process ended, or does not serve within `READY_TIMEOUT_S`.
         """
         deadline = time.monotonic() + READY_TIMEOUT_S
         while not self.is_serving():
@@ -134,16 +134,16 @@
         self._start_cpu_s = self.processes[-1].cpu_so_far_s()
 
     def is_serving(self, timeout_s: float = CONNECT_TIMEOUT_S) -> bool:
-        """Return whether the router answers that it is ready, within so many seconds for each step."""
+        """Return whether the router reports that it is ready; `timeout_s` limits each socket operation."""
         return is_router_serving(self.port, timeout_s)
 
     def signal(self, number: int) -> None:
-        """Send a signal to all running processes."""
+        """Send a signal to all running processes of the router."""
         for process in self.processes:
             process.signal(number)
 
     def wait_ended(self, timeout_s: float) -> bool:
-        """Wait for the end of all processes; return whether they ended within so many seconds."""
+        """Wait for the end of all processes; return whether they ended within `timeout_s` seconds."""
         deadline = time.monotonic() + timeout_s
         while not all([process.has_ended() for process in self.processes]):
             if time.monotonic() >= deadline:
@@ -152,14 +152,14 @@
         return True
 
     def kill(self) -> RouterDowntime:
-        """Kill the router and wait for its end; times are milliseconds of the monotonic clock."""
+        """Kill the router and wait for its end; the times returned are monotonic, in milliseconds."""
         killed_at = 1000.0 * time.monotonic()
         self.signal(signal.SIGKILL)
         self.wait_ended(KILL_TIMEOUT_S)
         return RouterDowntime(self.index, killed_at, 1000.0 * time.monotonic())
 
     def cpu_s(self) -> float:
-        """Return the CPU seconds of all ended processes, without those of the start."""
+        """Return the CPU seconds of all ended processes, without the CPU time of the start."""
         return sum(process.cpu_s for process in self.processes) - self._start_cpu_s
 
     def memory_mb(self) -> float:
@@ -172,7 +172,7 @@
 
 
 def is_router_serving(port: int, timeout_s: float = CONNECT_TIMEOUT_S) -> bool:
-    """Return whether the router at a port answers that it is ready, within so many seconds for each step."""
+    """Return whether the router at a port reports to be ready; `timeout_s` limits each socket operation."""
     with (
         contextlib.suppress(OSError),
         socket.create_connection((HOST, port), timeout_s) as sock,
@@ -183,7 +183,7 @@
 
 
 def fetch_endpoint_document(port: int, fallback: dict[str, Any], router: int) -> dict[str, Any]:
-    """Return the endpoint list that a router had last, or `fallback` if it cannot be had."""
+    """Return the last endpoint list of a router, or `fallback` if discovery does not return it."""
     reader = EndpointListReader()
     request = f"GET {LAST_LIST_PATH}?{router} HTTP/1.1\r\nHost: discovery\r\n\r\n"
     with (
--- a/rosepick/lab/live/rule_check.py
+++ b/rosepick/lab/live/rule_check.py
@@ -1,8 +1,8 @@
-"""Checks the four rules on what nodes and clients recorded, not on what routers report.
+"""Checks the four rules on the records of nodes and clients, independently of what routers report.
 
-The rules are the model's (`RuleMonitor`). One process records all attempts, in their order, and another one
-the answers, so that an attempt counts as sent after an answer only if it came later by more than
-`CLOCK_SKEW_MS`. The lateness of the recording processes is allowed for.
+The rules are those of the model (`RuleMonitor`). One process records all attempts in order, and another one
+the answers, so that an attempt counts as sent after an answer only if it arrived more than `CLOCK_SKEW_MS`
+later. The checks allow for the lateness of the recording processes.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RunObservations:
-    """What nodes and clients recorded in a run."""
+    """The records of nodes and clients in a run."""
 
     attempts: Iterable[NodeAttemptRecord]
     tries: Iterable[TryRecord]
     router_downtimes: Sequence[RouterDowntime] = ()
-    nodes_late_ms: float = 0.0  # how late the nodes' records may be
-    clients_late_ms: float = 0.0  # how late the clients' records may be
-    held_up_ms: float = 0.0  # for how long routers may have been held up; their answers are as late
+    nodes_late_ms: float = 0.0  # largest lateness of the nodes' records
+    clients_late_ms: float = 0.0  # largest lateness of the clients' records
+    held_up_ms: float = 0.0  # the longest pause of a router, by which answers may be late
 
 
 def check_rules(measure: Measure, observations: RunObservations) -> None:
-    """Record all violations of a run, in the order of their times."""
+    """Record all violations of a run in order of time."""
     experiment = measure.experiment
     nodes_late_ms = observations.nodes_late_ms
     stop_within = 1000.0 * experiment.stop_sending_within + ANSWER_GRACE_MS + nodes_late_ms
@@ -54,9 +54,10 @@
 
 
 def _is_answer_due(record: TryRecord, router_downtimes: Sequence[RouterDowntime]) -> bool:
-    """Return whether an answer of the router was due.
+    """Return whether the router had to answer a try.
 
-    It was if the request was sent whole, the client stayed, and the router was not killed meanwhile.
+    An answer is due if the request was sent completely, the client did not disconnect, and the router was not
+    killed meanwhile.
     """
     if record.outcome in ("left", "crossed") or record.sent_at > record.ended_at:
         return False
@@ -67,7 +68,7 @@
 
 
 class _TryReplay:
-    """Feeds the rule monitor with one try and its attempts."""
+    """Replays a try and its attempts to the rule monitor."""
 
     def __init__(
         self, monitor: RuleMonitor, record: TryRecord, client_try: ClientTry, is_answer_due: bool, skew: float
@@ -83,7 +84,7 @@
         self._answered = False
 
     def run(self, attempts: list[NodeAttemptRecord]) -> None:
-        """Feed the monitor with all events of the try, in their order."""
+        """Report all events of the try to the monitor in order of time."""
         for attempt in sorted(attempts, key=lambda attempt: attempt.started_at):
             if (
                 self.record.outcome in ANSWERED_OUTCOMES
@@ -108,7 +109,7 @@
             self._record_unanswered()
 
     def _record_ended_by(self, at_ms: float) -> None:
-        """Record the attempts that had ended by a time."""
+        """Report the outcomes of attempts that ended by `at_ms`."""
         for attempt, sent in [pair for pair in self._in_flight if pair[0].ended_at <= at_ms]:
             self.monitor.record_outcome(sent, attempt.result)
             self._in_flight.remove((attempt, sent))
@@ -126,8 +127,8 @@
         record = self.record
         if record.outcome == "broke":
             elapsed_ms = record.ended_at - record.sent_at
-            connection = "the kept connection" if record.reused_connection else "the connection"
-            text = f"{connection} ended {elapsed_ms:.1f} ms after the request, without a whole answer"
+            connection = "the reused connection" if record.reused_connection else "the connection"
+            text = f"{connection} ended {elapsed_ms:.1f} ms after the request without a complete answer"
         else:
             text = f"no answer by {record.ended_at - record.deadline:.0f} ms after its deadline"
         self.monitor.measure.record_violation(
--- a/rosepick/lab/live/run_records.py
+++ b/rosepick/lab/live/run_records.py
@@ -1,4 +1,4 @@
-"""What the processes of a live run record. Times are milliseconds since the run's begin."""
+"""Defines the records of the processes of a live run. Times are milliseconds since the start of the run."""
 
 from __future__ import annotations
 
@@ -9,45 +9,45 @@
 from ..measure import SecondCounts
 from ..results import FaultSpan, RuleViolation
 
-MAX_P99_LATENESS_MS = 20.0  # of timers and sendings; beyond it the run is void
-MAX_LATENESS_MS = 250.0  # of the latest one; beyond it the run is void
+MAX_P99_LATENESS_MS = 20.0  # the run is void if the p99 lateness of timers or sendings is larger
+MAX_LATENESS_MS = 250.0  # the run is void if any timer or sending is later
 
 
 @dataclass(slots=True)
 class NodeAttemptRecord:
-    """One attempt as its node observed it."""
+    """An attempt as its node observed it."""
 
-    request_id: str  # its Req-Id
+    request_id: str  # Req-Id of the attempt
     node: int
     node_name: str
     zone: int
     cell: int
     started_at: float  # when its first byte arrived
-    drain_known_since: float | None = None  # since when its router knows that the node drains
-    ended_at: float = inf  # when it was answered or its connection closed
+    drain_known_since: float | None = None  # from when on the router counts as notified that the node drains
+    ended_at: float = inf  # when it was answered or its connection was closed
     result: Result = Result.TIMEOUT
 
 
 @dataclass(slots=True)
 class TryRecord:
-    """One try of a request as its client observed it."""
+    """A try of a request as its client observed it."""
 
     request_id: str
     router: int
     klass: int
     deadline: float
     sent_at: float = inf  # when its last byte was written
-    ended_at: float = inf  # when the answer was read or its connection ended
-    # served, refused or failed; broke: no complete answer; none: nothing received; left: abandoned;
-    # crossed: its connection ended before anything was received, and it was sent once more
+    ended_at: float = inf  # when the answer was read or the connection ended
+    # served, refused or failed; broke: no complete answer; none: nothing received; left: client disconnected;
+    # crossed: the connection ended before a byte was received, and the client sent the try again
     outcome: str = "none"
-    surplus: bool = False  # unexpected bytes followed the answer
-    reused_connection: bool = False  # it was sent on a connection that had been used before
+    surplus: bool = False  # whether unexpected bytes followed the answer
+    reused_connection: bool = False  # whether an earlier request used the connection
 
 
 @dataclass(frozen=True, slots=True)
 class RequestEndRecord:
-    """The end of a request; the outcome is a value of `ClientOutcome`."""
+    """The end of a request; `outcome` is a value of `ClientOutcome`."""
 
     number: int
     outcome: str
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterDowntime:
-    """A killed router, which owes no answer to requests that it had between `at` and `until`."""
+    """The downtime of a killed router, which need not answer requests in flight between `at` and `until`."""
 
     router: int
     at: float
@@ -65,19 +65,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Lateness:
-    """How late a process of the run was, in milliseconds."""
+    """The lateness of a process of the run, in milliseconds."""
 
     p99_ms: float = 0.0
     max_ms: float = 0.0
 
     @classmethod
     def from_samples(cls, samples_ms: list[float]) -> Lateness:
-        """Return the lateness of some samples."""
+        """Return the p99 and maximum of samples in milliseconds."""
         ordered = sorted(samples_ms)
         return cls(ordered[int(0.99 * len(ordered))], ordered[-1]) if ordered else cls()
 
     def void_reason(self, subject: str) -> str:
-        """Return why the run is void by this lateness; empty if it is not."""
+        """Return why this lateness makes the run void; empty if it does not."""
         if self.p99_ms <= MAX_P99_LATENESS_MS and self.max_ms <= MAX_LATENESS_MS:
             return ""
         return (
@@ -109,6 +109,6 @@
     request_ends: list[RequestEndRecord] = field(default_factory=list)
     send_lateness: Lateness = field(default_factory=Lateness)  # from a request's due time to its sending
     loop_lateness: Lateness = field(default_factory=Lateness)
-    pool_waits: int = 0  # tries that had to wait for a connection
+    pool_waits: int = 0  # number of tries that waited for a connection
     cpu_s: float = 0.0
     faults: int = 0
--- a/rosepick/lab/live/stand_ins.py
+++ b/rosepick/lab/live/stand_ins.py
@@ -1,10 +1,11 @@
-"""The stand-ins' process: all cache nodes, the origin and discovery of a run on one event loop.
+"""Runs all cache nodes, the origin and discovery of a live run in one process, on one event loop.
 
-One process is enough: 1,000 requests a second, with 1,500 attempts, take a third of a core.
+One process suffices: 1,000 requests per second with 1,500 attempts use a third of a core.
 
-It receives `{"experiment", "seed", "result"}`, sends the ports of discovery and the routers' cached lists,
-receives `{"begin": milliseconds of the monotonic clock}`, `{"ended": router}` and `{"serving": router}` for
-each further process of a router, and `{"end": true}`, and writes a `StandInResults`.
+The process receives `{"experiment", "seed", "result"}` and sends the ports of discovery and the cached lists
+of the routers. It then receives `{"begin": milliseconds of the monotonic clock}`, `{"ended": router}` and
+`{"serving": router}` for each further process of a router, and `{"end": true}`, upon which it writes its
+`StandInResults` and sends `{"done"}`.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class StandIns:
-    """The stand-ins of one run."""
+    """Serves the nodes, the origin and discovery of one run, controlled by messages from its parent."""
 
     def __init__(self) -> None:
         self.loop = EventLoop()
@@ -57,7 +58,7 @@
         self.simulation.open()
         freeze_garbage_collector()
         discovery = self.simulation.discovery_server
-        cached_lists = [discovery.initial_document(zone) for zone in range(discovery.zones)]
+        cached_lists = [discovery.initial_document(zone) for zone in range(discovery.zone_count)]
         ports = [listener.port for listener in discovery.listeners]
         self.parent.send({"discovery": ports, "known": cached_lists})
 
@@ -78,7 +79,7 @@
 
 
 def main() -> None:
-    """Serve until the parent has gone."""
+    """Run the stand-ins until their parent closes the connection."""
     logs.configure_logging()
     raise_descriptor_limit()
     StandIns().loop.run()
--- a/rosepick/lab/report/__init__.py
+++ b/rosepick/lab/report/__init__.py
@@ -1,4 +1,4 @@
-"""Renders runs as one HTML page that needs no other file."""
+"""Renders the results of runs as a self-contained HTML page."""
 
 from .page import render
 
--- a/rosepick/lab/report/page.py
+++ b/rosepick/lab/report/page.py
@@ -1,4 +1,4 @@
-"""Renders the page: alarms first, then figures, verdicts, plots and broken rules; long lists are bounded."""
+"""Renders the page: alarms, figures, requirements, plots and broken rules. Long lists are truncated."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from ..results import RequirementResult, RuleViolation, RunCost, RunResult
 from .plots import MAX_FAULTS_MARKED, PANELS, Plots, RunTimeline, Style
 
-MAX_GROUPS = 12  # of runs that are plotted together
-MAX_RUNS_PER_GROUP = 8
-MAX_LINES = 40  # of a plot of percentiles
-MAX_ROWS = 200  # of a table
+MAX_GROUPS = 12  # plotted groups of runs
+MAX_RUNS_PER_GROUP = 8  # plotted runs of a group
+MAX_LINES = 40  # lines in a plot of percentiles
+MAX_ROWS = 200  # rows of a table
 MAX_VIOLATIONS = 50
-MAX_NAMED = 20  # names of a list at the top of the page
+MAX_NAMED = 20  # names in a list at the top of the page
 UNKNOWN_FIGURE = "\N{EN DASH}"
 
 FIGURE_COLUMNS = (
@@ -42,20 +42,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RunEntry:
-    """A run as the page shows it."""
+    """A run with its labels and style on the page."""
 
     run: RunResult
-    case: str  # experiment and settings
-    label: str  # policy, and what distinguishes it from other runs of the policy
-    name: str  # case, label and seed; without the case if there is only one
+    case: str  # experiment and changed settings
+    label: str  # policy, with what distinguishes the run from others of the policy
+    name: str  # label and seed, with the case in front if there are several
     style: Style
     cost: RunCost | None
 
 
 def render(runs: list[RunResult], costs: list[RunCost], title: str) -> str:
-    """Return an HTML page that needs no other file; the same input gives the same bytes.
+    """Return a self-contained HTML page; the same input gives the same bytes.
 
-    Costs are shown for each run if there are as many of them as runs, else their sums only.
+    Costs are shown for each run if there is one for each run, else only their sums.
     """
     entries = _build_entries(runs, costs)
     worst_first = sorted(entries, key=lambda entry: entry.run.good())
@@ -100,7 +100,7 @@
 
 
 def _build_entries(runs: Sequence[RunResult], costs: Sequence[RunCost]) -> list[RunEntry]:
-    """Return the runs with labels that distinguish those of the same policy."""
+    """Return the runs with labels that distinguish runs of the same policy."""
     shows_revision = len({run.revision for run in runs}) > 1
     shows_mode = len({run.how for run in runs}) > 1
     cases = [_case_of(run) for run in runs]
@@ -139,13 +139,13 @@
 def _limit_entries(
     worst_first: Sequence[RunEntry], entries: Sequence[RunEntry], max_entries: int
 ) -> list[RunEntry]:
-    """Return at most so many entries in their order; the worst ones are preferred."""
+    """Return at most `max_entries` entries in their order; the first ones of `worst_first` are preferred."""
     shown = {id(entry) for entry in worst_first[:max_entries]}
     return [entry for entry in entries if id(entry) in shown]
 
 
 def _head_rows(runs: Sequence[RunResult]) -> list[tuple[str, str, bool]]:
-    """Return what the runs have in common, as rows of a name, a text, and whether it is a warning."""
+    """Return rows that describe all runs: a name, a text, and whether the text is a warning."""
     revisions = _unique_in_order(run.revision for run in runs)
     versions = _unique_in_order(" ".join(map(" ".join, run.versions.items())) for run in runs)
     rows = [
@@ -157,12 +157,12 @@
         ("versions", "; ".join(versions), len(versions) > 1),
     ]
     if any(name.endswith("+") for name in revisions):
-        rows.append(("sources", "were changed after the revision that ends with +", True))
+        rows.append(("sources", "modified since the revision that ends with +", True))
     return rows
 
 
 def _format_list(values: Iterable[Any]) -> str:
-    """Return different values on one line, bounded."""
+    """Return the distinct values on one line, at most `MAX_NAMED` of them."""
     texts = [str(value) for value in _unique_in_order(values)]
     hidden = len(texts) - MAX_NAMED
     return ", ".join(texts[:MAX_NAMED]) + (f" and {hidden} more" if hidden > 0 else "")
@@ -173,7 +173,7 @@
     verdicts: Sequence[tuple[RunEntry, RequirementResult]],
     broken: Sequence[tuple[RunEntry, RuleViolation]],
 ) -> dict[str, Any]:
-    """Return the template's values for the alarm at the top: void runs, broken rules, missed requirements."""
+    """Return the template values for the alarm: void runs, broken rules and missed requirements."""
     void = [entry for entry in entries if entry.run.void]
     rules = Counter(f"{violation.rule}: {entry.name}" for entry, violation in broken)
     return {
@@ -188,7 +188,7 @@
 
 
 def _mean_rows(entries: Sequence[RunEntry]) -> list[tuple[str, str, int, dict[str, float]]]:
-    """Return case, label, count and mean figures of the runs that count, if some have the same label."""
+    """Return case, label, count and mean figures of the valid runs; empty if no two share case and label."""
     runs_by_kind: dict[tuple[str, str], list[RunResult]] = {}
     for entry in entries:
         if not entry.run.void:
@@ -215,7 +215,7 @@
 
 
 def _plot_percentiles(entries: Sequence[RunEntry], plots: Plots) -> list[dict[str, Any]]:
-    """Return the template's values of one plot of percentiles for each case."""
+    """Return the template values of a plot of percentiles for each case."""
     plotted: list[dict[str, Any]] = []
     for case in _unique_in_order(entry.case for entry in entries)[:MAX_GROUPS]:
         counted = [entry for entry in entries if entry.case == case and not entry.run.void]
@@ -237,7 +237,7 @@
     """Plot runs of the same experiment, settings and seed together.
 
     Returns:
-        The template's values of each plotted group, in order, and the number of groups that are not plotted.
+        The template values of each plotted group, in order, and the number of groups that are not plotted.
         Groups with a run that is not good are preferred.
     """
     entries_by_kind: dict[tuple[str, int], list[RunEntry]] = {}
@@ -256,9 +256,9 @@
 
 
 def _plot_group(entries: Sequence[RunEntry], count: int, plots: Plots) -> dict[str, Any]:
-    """Return the template's values of one group; `count` includes the runs that are not plotted."""
+    """Return the template values of a group; `count` includes the runs that are not plotted."""
     runs = [entry.run for entry in entries]
-    # all runs have the same faults, except one that was cut short
+    # all runs have the same faults, except for a run that ended early
     faults = _unique_in_order(fault for run in runs for fault in run.troubles)
     timeline = RunTimeline(max(run.length for run in runs), max(run.warm_up for run in runs), faults)
     lines = [(entry.style, entry.run.windows) for entry in entries]
@@ -269,7 +269,7 @@
         (entry, plots.outcomes(entry.run.windows, timeline, float(max_offered))) for entry in entries
     ]
     figures += [
-        (f"How requests ended, a second: {entry.label}", Markup(svg), False)
+        (f"Outcomes of requests per second: {entry.label}", Markup(svg), False)
         for entry, svg in outcome_plots
         if svg
     ]
@@ -289,7 +289,7 @@
 
 
 def _format_figure(values: dict[str, float], name: str, kind: str) -> str:
-    """Return a figure of `FIGURE_COLUMNS` by its kind: share, ms or number."""
+    """Return the formatted figure `name`; `kind` is that of `FIGURE_COLUMNS`: share, ms or number."""
     if name not in values:
         return UNKNOWN_FIGURE
     return {"share": _format_share, "ms": _format_ms, "number": _format_number}[kind](values[name])
--- a/rosepick/lab/report/plots.py
+++ b/rosepick/lab/report/plots.py
@@ -1,6 +1,6 @@
-"""Plots as SVG to embed in a page: in the page's colours, with unique identifiers, without external files.
+"""Draws plots as SVG to embed in a page: in the page's colours, with unique identifiers, without other files.
 
-Every line has its own colour (Okabe and Ito's palette for the colour-blind) and dash pattern.
+Lines differ in colour (from Okabe and Ito's palette for colour-blind readers) and dash pattern.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 Values = npt.NDArray[np.float64]
 
-MAX_POINTS = 600  # of a line; beyond that seconds are aggregated
+MAX_POINTS = 600  # points of a line; longer runs are aggregated
 MAX_FAULTS_MARKED = 30
 MAX_LABEL_LANES = 4
 
-# placeholders of colours that the page defines
+# placeholder colours, which are replaced by colours that the page defines
 INK_PLACEHOLDER = "#010203"
 GRID_PLACEHOLDER = "#040506"
 SHADE_PLACEHOLDER = "#070809"
 WARM_UP_PLACEHOLDER = "#0a0b0c"
-BLUE = "#0072b2"  # on a light background
+BLUE = "#0072b2"  # replaced by the page's blue, as this one is too dark on a dark background
 PAGE_COLOURS = {
     INK_PLACEHOLDER: "currentColor",
     GRID_PLACEHOLDER: "var(--grid)",
@@ -44,7 +44,8 @@
 }
 COLOURS = (BLUE, "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9", INK_PLACEHOLDER)
 DASHES = ((), (5, 2), (1.5, 1.5), (7, 2, 1.5, 2), (3, 1.2))
-OUTCOME_STYLES = (  # hatched with lines only, as dots would take most of the page's size
+# hatches consist of lines only, as dots would account for most of the page's size
+OUTCOME_STYLES = (
     ("in_time", "in time", "#56b4e9", ""),
     ("late", "late", "#e69f00", "///"),
     ("refused", "refused", "#cc79a7", "\\\\\\"),
@@ -52,7 +53,7 @@
     ("left", "left", "#999999", "---"),
 )
 
-# inches
+# sizes in inches
 WIDE_WIDTH_IN = 9.75
 NARROW_WIDTH_IN = 4.8
 PLOT_HEIGHT_IN = 1.5
@@ -94,50 +95,50 @@
     """The style of a line."""
 
     colour: str
-    dash: tuple[float, ...]  # lengths on and off, in widths of the line
+    dash: tuple[float, ...]  # lengths of dashes and gaps, in line widths
 
     @staticmethod
     def for_index(index: int) -> Style:
-        """Return the n-th style; 35 are different."""
+        """Return the style with an index; styles repeat after 35."""
         return Style(COLOURS[index % len(COLOURS)], DASHES[index % len(DASHES)])
 
     def shown(self) -> tuple[str, str]:
-        """Return colour and dashes for the page, of a line two points wide."""
+        """Return the CSS colour and the SVG dash pattern for a line two points wide."""
         return PAGE_COLOURS.get(self.colour, self.colour), " ".join(f"{2 * part:g}" for part in self.dash)
 
     def matplotlib_options(self) -> dict[str, Any]:
-        """Return the style as options of matplotlib."""
+        """Return the style as keyword arguments of matplotlib."""
         return {"color": self.colour, "linestyle": (0, self.dash) if self.dash else "-"}
 
 
 @dataclass(frozen=True, slots=True)
 class Panel:
-    """One figure over time."""
+    """A plot of one figure over time."""
 
     title: str
-    value_of: Callable[[Window], float]  # nan if there is none
-    wide: bool = False
-    log: bool = False
-    share: bool = False  # the axis ends at 1 and begins below the smallest value
-    least_top: float = 0.0  # the least upper end of the axis
-    shows_max: bool = False  # aggregated seconds show their maximum, not their mean
+    value_of: Callable[[Window], float]  # returns nan for a window without a value
+    wide: bool = False  # whether the plot takes the whole width of the page
+    log: bool = False  # whether the axis is logarithmic
+    share: bool = False  # whether the axis ends at 1 and begins below the smallest value
+    min_top: float = 0.0  # the smallest upper end of the axis
+    shows_max: bool = False  # whether aggregated seconds show their maximum instead of their mean
 
 
 PANELS = (
     Panel("Served in time, share of requests", lambda w: _ratio(w.in_time, w.offered), wide=True, share=True),
     Panel("Latency p50, ms", lambda w: w.p50_ms or nan, log=True),
     Panel("Latency p99, ms", lambda w: w.p99_ms or nan, log=True, shows_max=True),
-    Panel("Load of the nodes, mean", lambda w: w.node_load_mean, least_top=1.0),
-    Panel("Load of the node with most", lambda w: w.node_load_most, least_top=1.0, shows_max=True),
-    Panel("Load of the origin", lambda w: w.origin_load, least_top=1.0, shows_max=True),
-    Panel("Attempts at the origin, a second", lambda w: w.origin_attempts),
-    Panel("Cold nodes' budget used, most of any", lambda w: w.cold_used, least_top=1.0, shows_max=True),
-    Panel("Attempts to another zone, a second", lambda w: w.crossings),
+    Panel("Mean load of the nodes", lambda w: w.node_load_mean, min_top=1.0),
+    Panel("Load of the most loaded node", lambda w: w.node_load_most, min_top=1.0, shows_max=True),
+    Panel("Load of the origin", lambda w: w.origin_load, min_top=1.0, shows_max=True),
+    Panel("Attempts at the origin per second", lambda w: w.origin_attempts),
+    Panel("Cold budget used, highest of all nodes", lambda w: w.cold_used, min_top=1.0, shows_max=True),
+    Panel("Attempts to another zone per second", lambda w: w.crossings),
 )
 
 
 class TimelineMark(NamedTuple):
-    """A shaded span of time: a fault, or the warm-up if it has no short label."""
+    """A shaded span of time: a fault, or the warm-up, which has an empty short label."""
 
     since: float  # seconds
     until: float
@@ -151,20 +152,20 @@
 
     length: float  # seconds
     warm_up: float
-    troubles: Sequence[FaultSpan]  # in the order of their numbers, from 1
+    faults: Sequence[FaultSpan]  # in the order of their numbers on the page, which start at 1
 
     def marks(self) -> list[TimelineMark]:
         """Return the spans to shade."""
         warm_up = [TimelineMark(0.0, self.warm_up, "warm-up", "")] if self.warm_up else []
-        faults = enumerate(self.troubles[:MAX_FAULTS_MARKED], 1)
+        numbered_faults = enumerate(self.faults[:MAX_FAULTS_MARKED], 1)
         return warm_up + [
             TimelineMark(fault.at, min(fault.until, self.length), f"{number} {fault.kind}", f"{number}")
-            for number, fault in faults
+            for number, fault in numbered_faults
         ]
 
 
 class Plots:
-    """Draws the plots of one page, with identifiers that are unique in it."""
+    """Draws the plots of one page, with SVG identifiers that are unique in the page."""
 
     def __init__(self) -> None:
         self._identifiers = count(1)
@@ -172,7 +173,7 @@
     def over_time(
         self, panel: Panel, lines: Sequence[tuple[Style, Sequence[Window]]], timeline: RunTimeline
     ) -> str:
-        """Return the SVG of a panel; empty if there is nothing to draw."""
+        """Return the SVG of a panel; empty without values, and if all are 0 unless the panel is a share."""
         series = [(style, *_series(windows, panel)) for style, windows in lines]
         known = np.concatenate([np.empty(0), *(values[np.isfinite(values)] for _, _, values in series)])
         if not known.size or not (panel.share or known.any()):
@@ -185,9 +186,9 @@
             return self._svg(figure)
 
     def outcomes(self, windows: Sequence[Window], timeline: RunTimeline, max_value: float) -> str:
-        """Return the SVG of how requests ended, stacked; empty if there are none.
+        """Return the SVG of stacked outcomes of requests over time; empty if there are no requests.
 
-        The axis reaches `max_value` requests a second.
+        The axis reaches `max_value` requests per second.
         """
         if not any(window.offered for window in windows):
             return ""
@@ -236,12 +237,12 @@
                     **style.matplotlib_options(),
                 )
             axes.set_xticks(list(ticks), [f"{percentile:g} %" for percentile in ticks.values()])
-            axes.set_xlabel("of the served requests took at most so long", labelpad=2)
+            axes.set_xlabel("percentile of the served requests", labelpad=2)
             _use_log_scale(axes)
             return self._svg(figure)
 
     def _svg(self, figure: Figure) -> str:
-        """Return a figure's SVG to embed: without prolog and global style, with unique identifiers."""
+        """Return the SVG of a figure to embed: without prolog and global style, with unique identifiers."""
         no_metadata = dict.fromkeys(("Date", "Creator", "Format", "Type"))
         output = io.StringIO()
         figure.savefig(output, format="svg", transparent=True, metadata=no_metadata)
@@ -257,7 +258,7 @@
 
 
 def _style_context() -> Any:
-    """Return a context with matplotlib's defaults and the page's style, whatever the machine's settings."""
+    """Return a context with matplotlib's defaults and the page's style; settings of the user are ignored."""
     return matplotlib.style.context(["default", MATPLOTLIB_STYLE])
 
 
@@ -276,7 +277,7 @@
     at = np.array([window.at + 0.5 for window in windows] + padding, dtype=np.float64)
     values = np.array([panel.value_of(window) for window in windows] + padding, dtype=np.float64)
     with warnings.catch_warnings():
-        warnings.simplefilter("ignore", RuntimeWarning)  # of a group without any value
+        warnings.simplefilter("ignore", RuntimeWarning)  # for a group without any value
         aggregate = np.nanmax if panel.shows_max else np.nanmean
         return np.nanmean(at.reshape(-1, group_size), axis=1), aggregate(
             values.reshape(-1, group_size), axis=1
@@ -286,16 +287,18 @@
 def _draw_line(axes: Axes, style: Style, at: Values, values: Values) -> None:
     axes.plot(at, values, linewidth=1.3, **style.matplotlib_options())
     known = np.concatenate([[False], np.isfinite(values), [False]])
-    # a line needs two points, so that lone ones are drawn as dots
-    is_lone = known[1:-1] & ~known[:-2] & ~known[2:]
-    axes.plot(at[is_lone], values[is_lone], linestyle="", marker="o", markersize=2.5, color=style.colour)
+    # a line needs two points, so that isolated points are drawn as dots
+    is_isolated = known[1:-1] & ~known[:-2] & ~known[2:]
+    axes.plot(
+        at[is_isolated], values[is_isolated], linestyle="", marker="o", markersize=2.5, color=style.colour
+    )
 
 
 # ------------------------------------------------------------------------------------------------- axes
 
 
 def _create_axes(width: float, height: float, lanes: int, space_below: float) -> tuple[Figure, Axes]:
-    """Return axes of a height in inches, with lanes of labels above and space below."""
+    """Return axes with `lanes` rows of labels above and space below; sizes are in inches."""
     figure_height = height + space_below + TOP_MARGIN_IN + lanes * LANE_HEIGHT_IN
     figure = Figure(figsize=(width, figure_height))
     axes = figure.add_axes(
@@ -319,11 +322,13 @@
 def _create_time_axes(width: float, timeline: RunTimeline, legend: float = 0.0) -> tuple[Figure, Axes]:
     """Return axes over the time of a run, with the faults marked."""
     marks = timeline.marks()
-    letter_s = timeline.length / (width - LEFT_MARGIN_IN - RIGHT_MARGIN_IN) * LETTER_WIDTH_IN
-    labels = _assign_lanes([(mark.since, mark.long_label) for mark in marks], letter_s, timeline.length)
+    letter_width_s = timeline.length / (width - LEFT_MARGIN_IN - RIGHT_MARGIN_IN) * LETTER_WIDTH_IN
+    labels = _assign_lanes([(mark.since, mark.long_label) for mark in marks], letter_width_s, timeline.length)
     lanes = 1 + max((lane for lane, _, _ in labels), default=-1)
     if lanes > MAX_LABEL_LANES:
-        labels = _assign_lanes([(mark.since, mark.short_label) for mark in marks], letter_s, timeline.length)
+        labels = _assign_lanes(
+            [(mark.since, mark.short_label) for mark in marks], letter_width_s, timeline.length
+        )
         lanes = min(MAX_LABEL_LANES, 1 + max(lane for lane, _, _ in labels))
     figure, axes = _create_axes(width, PLOT_HEIGHT_IN, lanes, BOTTOM_MARGIN_IN + legend)
     for since, until, _, short_label in marks:
@@ -348,15 +353,15 @@
 
 
 def _assign_lanes(
-    labels: Sequence[tuple[float, str]], letter_s: float, length: float
+    labels: Sequence[tuple[float, str]], letter_width_s: float, length: float
 ) -> list[tuple[int, float, str]]:
-    """Return lane, position and text of each label, without overlaps; a letter takes `letter_s` seconds."""
+    """Return lane, position and text of each label, without overlaps; a letter is `letter_width_s` wide."""
     ends: list[float] = []
     placed: list[tuple[int, float, str]] = []
     for since, text in sorted(label for label in labels if label[1]):
-        x = max(0.0, min(since, length - len(text) * letter_s))
+        x = max(0.0, min(since, length - len(text) * letter_width_s))
         lane = next((n for n, end in enumerate(ends) if end <= x), len(ends))
-        ends[lane : lane + 1] = [x + (len(text) + 1) * letter_s]
+        ends[lane : lane + 1] = [x + (len(text) + 1) * letter_width_s]
         placed.append((lane, x, text))
     return placed
 
@@ -369,7 +374,7 @@
         lowest = float(values.min())
         axes.set_ylim(0.0 if lowest < 0.6 else int(lowest * 10 - 1) / 10, 1.01)
     else:
-        axes.set_ylim(0, max(panel.least_top, float(values.max())) * 1.05)
+        axes.set_ylim(0, max(panel.min_top, float(values.max())) * 1.05)
 
 
 def _use_log_scale(axes: Axes) -> None:
--- a/tests/golden_lab_forms.py
+++ b/tests/golden_lab_forms.py
@@ -99,19 +99,25 @@
         found = build_account(log_reader.read_logs([folder]))
     rows = [
         [
-            [row.name, row.request_count, row.in_time, row.worth, [share for _, share in row.causes]]
+            [
+                row.name,
+                row.request_count,
+                row.in_time_share,
+                row.value_share,
+                [share for _, share in row.causes],
+            ]
             for row in part
         ]
         for part in (found.classes, found.slices, found.groups)
     ]
-    causes = [[one.count, one.worth, one.mean_wait_ms, one.classes] for one in found.causes]
+    causes = [[one.count, one.lost_value, one.mean_wait_ms, one.classes] for one in found.causes]
     prices = sorted(found.prices.values())
     return [
         found.routers,
         found.starts,
         found.request_count,
-        found.in_time,
-        found.worth,
+        found.in_time_share,
+        found.value_share,
         causes,
         rows,
         prices,
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -74,10 +74,10 @@
             account = build_account(read_logs([self.folder]), parse_day_report(PRINTED))
             with self.subTest(stamp=stamp):
                 self.assertEqual((account.routers, account.starts, account.request_count), (2, 3, 18))
-                self.assertAlmostEqual(account.in_time, 10 / 18)
-                self.assertAlmostEqual(account.worth, 30 / 57)
+                self.assertAlmostEqual(account.in_time_share, 10 / 18)
+                self.assertAlmostEqual(account.value_share, 30 / 57)
                 self.assertEqual(
-                    [(c.name, c.count, c.worth) for c in account.causes],
+                    [(c.name, c.count, c.lost_value) for c in account.causes],
                     [
                         ("refused_too_slow", 7, 21.0),
                         ("client_gone", 1, 6.0),
--- a/tests/test_lab_live.py
+++ b/tests/test_lab_live.py
@@ -689,7 +689,7 @@
     children = Children(kill)
     run, _ = run_live(experiment("", {**READS, "length": 0.6, "traffic.rate": 20}), 1, {}, children)
     assert [(one.node, one.text) for one in run.broken if not one.request] == [
-        ("router-0", "ended unasked with status -9")
+        ("router-0", "ended unexpectedly with status -9")
     ]
     assert "event=serving" in capfd.readouterr().err
     assert children.left() == []
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -11,7 +11,7 @@
 from rosepick.lab.live.notification_ledger import (
     MAX_CALL_GAP_MS,
     MAX_NOTIFICATION_DELAY_MS,
-    NotificationLedger,
+    NotificationTracker,
 )
 
 NODE = 7
@@ -99,58 +99,58 @@
     assert violations_of(experiment, 1) == []
 
 
-def known_since(ledger: NotificationLedger, now: float, drained_at: float = 100.0) -> float | None:
+def known_since(tracker: NotificationTracker, now: float, drained_at: float = 100.0) -> float | None:
     """Since when the router counts as knowing that the node drains, for an attempt at `now`."""
-    return ledger.drain_known_at(now, NODE, drained_at, 2)
+    return tracker.drain_known_at(now, NODE, drained_at, 2)
 
 
 def test_what_is_written_counts_from_then_on() -> None:
-    ledger = NotificationLedger()
-    ledger.record_call()
-    assert known_since(ledger, 5_000.0) is None  # the call is open: discovery has not written anything
-    ledger.record_drain(5_100.0, NODE, 2)
-    assert known_since(ledger, 5_200.0) == 5_100.0
+    tracker = NotificationTracker()
+    tracker.record_call()
+    assert known_since(tracker, 5_000.0) is None  # the call is open: discovery has not written anything
+    tracker.record_drain(5_100.0, NODE, 2)
+    assert known_since(tracker, 5_200.0) == 5_100.0
 
 
 def test_a_restarted_process_counts_as_told_until_it_is_written_a_list() -> None:
-    ledger = NotificationLedger()
-    ledger.record_process_end()
-    ledger.record_process_start(1_000.0)
-    assert known_since(ledger, 999.0 + MAX_CALL_GAP_MS) is None
-    ledger.record_call()
-    ledger.record_call_failed()  # it was turned away
-    assert known_since(ledger, 1_001.0 + MAX_CALL_GAP_MS) == 1_000.0 + MAX_CALL_GAP_MS
-    written = NotificationLedger()
+    tracker = NotificationTracker()
+    tracker.record_process_end()
+    tracker.record_process_start(1_000.0)
+    assert known_since(tracker, 999.0 + MAX_CALL_GAP_MS) is None
+    tracker.record_call()
+    tracker.record_call_failed()  # it was turned away
+    assert known_since(tracker, 1_001.0 + MAX_CALL_GAP_MS) == 1_000.0 + MAX_CALL_GAP_MS
+    written = NotificationTracker()
     written.record_process_end()
     written.record_process_start(1_000.0)
     written.record_call()
-    written.record_list_written(1_200.0)
+    written.record_answer(1_200.0)
     written.record_call()
     assert known_since(written, 5_000.0, drained_at=1_500.0) is None
 
 
 def test_a_drain_in_a_gap_after_an_answer_counts_from_the_drain() -> None:
-    ledger = NotificationLedger()
-    ledger.record_call()
-    ledger.record_list_written(1_000.0)
-    assert known_since(ledger, 2_000.0, drained_at=1_500.0) == 1_500.0
+    tracker = NotificationTracker()
+    tracker.record_call()
+    tracker.record_answer(1_000.0)
+    assert known_since(tracker, 2_000.0, drained_at=1_500.0) == 1_500.0
 
 
 def test_after_a_failed_call_a_drain_counts_six_seconds_later() -> None:
-    ledger = NotificationLedger()
-    ledger.record_call()
-    ledger.record_call_failed()
-    assert known_since(ledger, 99.0 + MAX_NOTIFICATION_DELAY_MS) is None
-    assert known_since(ledger, 101.0 + MAX_NOTIFICATION_DELAY_MS) == 100.0 + MAX_NOTIFICATION_DELAY_MS
+    tracker = NotificationTracker()
+    tracker.record_call()
+    tracker.record_call_failed()
+    assert known_since(tracker, 99.0 + MAX_NOTIFICATION_DELAY_MS) is None
+    assert known_since(tracker, 101.0 + MAX_NOTIFICATION_DELAY_MS) == 100.0 + MAX_NOTIFICATION_DELAY_MS
 
 
 def test_nothing_counts_while_the_router_is_down_or_discovery_is() -> None:
-    ledger = NotificationLedger()
-    ledger.record_process_end()
-    assert known_since(ledger, 50_000.0) is None
-    ledger.record_process_start(50_000.0)
-    ledger.record_availability(50_100.0, available=False)
-    assert known_since(ledger, 90_000.0) is None
-    ledger.record_availability(90_000.0, available=True)
-    assert known_since(ledger, 90_000.0 + MAX_CALL_GAP_MS - 1.0) is None
-    assert known_since(ledger, 90_001.0 + MAX_CALL_GAP_MS) == 90_000.0 + MAX_CALL_GAP_MS
+    tracker = NotificationTracker()
+    tracker.record_process_end()
+    assert known_since(tracker, 50_000.0) is None
+    tracker.record_process_start(50_000.0)
+    tracker.record_availability(50_100.0, available=False)
+    assert known_since(tracker, 90_000.0) is None
+    tracker.record_availability(90_000.0, available=True)
+    assert known_since(tracker, 90_000.0 + MAX_CALL_GAP_MS - 1.0) is None
+    assert known_since(tracker, 90_001.0 + MAX_CALL_GAP_MS) == 90_000.0 + MAX_CALL_GAP_MS
