--- a/tests/golden_lab_forms.py
+++ b/tests/golden_lab_forms.py
@@ -1,7 +1,7 @@
-"""Representative results of experiments and histories of drills.
+"""Builds representative results of experiments and histories of drills.
 
-A part of golden_forms, with the same rules: program names are imported here only, values are built by
-position, and enumerations by value.
+This is a part of golden_forms and follows the same rules: only these modules import program names, values are
+built by position, and enum members by value.
 """
 
 from __future__ import annotations
@@ -45,12 +45,12 @@
 
 
 def write_results(found: list[results.ResultLine]) -> bytes:
-    """Write lines of results."""
+    """Return encoded lines of results."""
     return b"".join(map(results.encode_result, found))
 
 
 def read_results(data: bytes) -> list[results.ResultLine]:
-    """Read lines of results."""
+    """Return the decoded lines of results."""
     with temporary_folder() as folder:
         path = folder / "results.jsonl"
         path.write_bytes(data)
@@ -58,7 +58,7 @@
 
 
 def drill_events() -> list[history.AnyEvent]:
-    """Return an event of every kind, in order."""
+    """Return a list with one event of every kind."""
     return [
         history.RegisterOperation("w1", 1.0, 0.5, "lease/job", "a1", "done", 3, "a1", "a0"),
         history.LeaseCheckPassed("w1", 2.0, 1.5, "job", 3, 7),
@@ -76,12 +76,12 @@
 
 
 def write_history(events: list[history.AnyEvent]) -> bytes:
-    """Write a drill's events."""
+    """Return the encoded events of a drill."""
     return b"".join(map(history.encode_line, events))
 
 
 def read_history(data: bytes) -> list[history.AnyEvent]:
-    """Read a drill's events."""
+    """Return the decoded events of a drill."""
     with temporary_folder() as folder:
         path = folder / "history.jsonl"
         path.write_bytes(data)
@@ -89,14 +89,14 @@
 
 
 def account_of_log(data: bytes) -> object:
-    """Return the figures of the account that is read out of a router's log.
+    """Return the figures of the account of a router's log.
 
-    Causes and prices stand without their names, as these are log fields, which may get other names as long as
-    the old ones are read too.
+    Causes and prices are listed without their names, which are names of log fields. These may change as long
+    as the old names are read too.
     """
     with temporary_folder() as folder:
         (folder / "router.log").write_bytes(data)
-        found = build_account(log_reader.read_logs([folder]))
+        account = build_account(log_reader.read_logs([folder]))
     rows = [
         [
             [
@@ -108,16 +108,16 @@
             ]
             for row in part
         ]
-        for part in (found.classes, found.slices, found.groups)
+        for part in (account.classes, account.slices, account.groups)
     ]
-    causes = [[one.count, one.lost_value, one.mean_wait_ms, one.classes] for one in found.causes]
-    prices = sorted(found.prices.values())
+    causes = [[one.count, one.lost_value, one.mean_wait_ms, one.classes] for one in account.causes]
+    prices = sorted(account.prices.values())
     return [
-        found.routers,
-        found.starts,
-        found.request_count,
-        found.in_time_share,
-        found.value_share,
+        account.routers,
+        account.starts,
+        account.request_count,
+        account.in_time_share,
+        account.value_share,
         causes,
         rows,
         prices,
@@ -130,12 +130,12 @@
 
 
 def drill_counts() -> object:
-    """Return how a drill's events are counted in its sum."""
+    """Return the counts of a drill's events in its summary."""
     return dict(invariants.check_invariants(drill_events()).counts)
 
 
 def drill_settings() -> object:
-    """Return what drill files hold: one with nothing stated, and one of the repository."""
+    """Return the settings of two drill files: an empty one, and one of the repository."""
     with temporary_folder() as folder:
         (folder / "least.toml").write_text("", "utf-8")
         paths = (folder / "least.toml", ROOT / "drills" / "releases-short.toml")
@@ -143,7 +143,7 @@
 
 
 def recorded_log() -> bytes:
-    """Return the log that a router of a8254ac wrote while it met hits, misses, a reset and a late answer."""
+    """Return the log that a router of a8254ac wrote with hits, misses, a reset and a late answer."""
     return (GOLDEN / "router.log").read_bytes()
 
 
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,4 +1,4 @@
-"""The account of a day: what the engine counts, what is read from logs, and what is shown."""
+"""Tests of the account of a day: the engine's counters, the log reader, the account and its tables."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 ROOT = Path(__file__).parent.parent
 RECORDED_LOG = ROOT / "tests" / "golden" / "router.log"
 BEGIN = "time=2026-01-02T03:04:{:06.3f}Z level=info part=net.server event="
-PRINTED = """site a  family cache  requests 30
+BENCH_REPORT = """site a  family cache  requests 30
 G 0.6703   whole day 0.7924   worst 10 s 0.7373 (from 9 s)
 prices: cross_zone 0.0478, handshake 0.0150
 class read             served 0.8004
@@ -34,7 +34,7 @@
 
 
 def line(at: float, event: str, stamp: bool = True, **figures: object) -> str:
-    """A router's line, with the bench's stamp in front or without."""
+    """Return a line of a router's log, with or without the prefix of the test bench."""
     fields = " ".join(f"{name}={value}" for name, value in figures.items())
     return (f"{at:.3f} " if stamp else "") + BEGIN.format(at) + event + (f" {fields}" if fields else "")
 
@@ -44,7 +44,7 @@
 
 
 class ReadLogsTest(unittest.TestCase):
-    """Logs of several routers, in part damaged."""
+    """Reads logs of several routers, with truncated and foreign lines."""
 
     def setUp(self) -> None:
         folder = TemporaryDirectory()
@@ -54,7 +54,7 @@
     def write(self, name: str, *lines: str) -> None:
         (self.folder / f"{name}.log").write_text("\n".join(lines), "utf-8")
 
-    def test_differences_within_each_process_by_cause_slice_and_router(self) -> None:
+    def test_counts_are_increases_within_each_process(self) -> None:
         for stamp in (True, False):
             self.write(
                 "n0",
@@ -63,7 +63,7 @@
                 outcomes(5, "read", stamp, worth=3.0, served=8, refused_too_slow=2, refused_too_slow_ms=20),
                 outcomes(10, "read", stamp, worth=3.0, served=9, refused_too_slow=7, refused_too_slow_ms=120),
                 line(10, "counters", stamp, attempts=20, cross_zone_attempts=4),
-                line(11, "serving", stamp),  # another process: counts begin anew
+                line(11, "serving", stamp),  # another process, which counts from zero
                 outcomes(15, "read", stamp, worth=3.0, served=1),
                 line(15, "counters", stamp, attempts=2, cross_zone_attempts=1),
                 "15.001 time=2026 event=request_outcomes class",
@@ -71,7 +71,7 @@
             self.write(
                 "n1", line(0.5, "serving", stamp), outcomes(5.5, "write", stamp, worth=6.0, client_gone=1)
             )
-            account = build_account(read_logs([self.folder]), parse_day_report(PRINTED))
+            account = build_account(read_logs([self.folder]), parse_day_report(BENCH_REPORT))
             with self.subTest(stamp=stamp):
                 self.assertEqual((account.routers, account.starts, account.request_count), (2, 3, 18))
                 self.assertAlmostEqual(account.in_time_share, 10 / 18)
@@ -101,16 +101,16 @@
         for text in ("expected to be too late (read 7)", "55.6% in time", "price: handshake", "0.4790"):
             self.assertIn(text, console.file.getvalue())  # type: ignore[attr-defined]
 
-    def test_busy_routers_are_a_group_and_no_logs_are_an_error(self) -> None:
-        for place in range(10):
+    def test_busy_routers_form_a_group_and_missing_logs_are_an_error(self) -> None:
+        for index in range(10):
             self.write(
-                f"n{place}", outcomes(5, "read", served=90 if place == 3 else 1, refused_queue_timeout=1)
+                f"n{index}", outcomes(5, "read", served=90 if index == 3 else 1, refused_queue_timeout=1)
             )
         rows = [(row.name, row.request_count) for row in build_account(read_logs([self.folder])).groups]
         self.assertEqual(rows, [("1 with 3 times the mean or more", 91), ("9 others", 18)])
-        for place in range(10):
-            self.write(f"n{place}")
-        self.write("n0", "no line of ours")
+        for index in range(10):
+            self.write(f"n{index}")
+        self.write("n0", "a line without an event")
         for paths in ([self.folder], [self.folder / "none.log"], []):
             with self.subTest(paths=paths), self.assertRaises(NoLogsError):
                 read_logs(paths)
@@ -118,7 +118,7 @@
 
 
 class OldLogsTest(unittest.TestCase):
-    """Logs in the words of before 0.3.0 are read like those of today."""
+    """Reads logs with the event and field names of versions before 0.3.0."""
 
     def account(self, text: str) -> LossAccount:
         with TemporaryDirectory() as folder:
@@ -131,16 +131,16 @@
         new = "".join(" ".join(f"{key}={value}" for key, value in one.items()) + "\n" for one in lines)
         self.assertNotIn("event=ends", new)
         self.assertEqual(new.count("event=request_outcomes"), 6)
-        found = self.account(old)
-        self.assertEqual(self.account(new), found)
-        self.assertEqual(found.request_count, 13)
+        account = self.account(old)
+        self.assertEqual(self.account(new), account)
+        self.assertEqual(account.request_count, 13)
         self.assertEqual(
-            sorted(cause.name for cause in found.causes),
+            sorted(cause.name for cause in account.causes),
             ["client_gone", "deadline_exceeded_no_time", "refused_no_endpoint"],
         )
-        self.assertEqual(found.prices["upstream_connects"], 5 / 13)
+        self.assertEqual(account.prices["upstream_connects"], 5 / 13)
 
-    def test_no_line_of_the_recorded_log_keeps_an_old_name(self) -> None:
+    def test_no_parsed_line_of_the_recorded_log_has_an_old_name(self) -> None:
         old_words = {"envelopes", "owed", "sockets", "dials", "gone", "hops", "asks", "door_http", "half"}
         for line in RECORDED_LOG.read_text("utf-8").splitlines():
             with self.subTest(line=line):
@@ -150,8 +150,8 @@
                 self.assertEqual(len(record), line.count("="))
                 self.assertEqual(parse_record(" ".join(f"{k}={v}" for k, v in record.items())), record)
 
-    def test_each_old_value_has_the_name_that_is_logged_today(self) -> None:
-        """Guards against a member of an enum that is renamed, and with it, unseen, a field of the log."""
+    def test_each_old_field_name_is_translated_to_the_current_one(self) -> None:
+        """Guards against renaming an enum member, which would silently rename a log field."""
         cases = [("counts", f"attempt_{one.value}", f"attempt_{one.name.lower()}") for one in Result]
         cases += [("ends", one.value, one.name.lower()) for one in RequestOutcome]
         cases += [
@@ -168,7 +168,7 @@
             with self.subTest(old=old):
                 self.assertEqual(parse_record(f"event={event} {old}=3").get(new), "3")
 
-    def test_the_table_has_what_is_logged_and_nothing_old_is_logged(self) -> None:
+    def test_the_translation_covers_only_logged_names_and_no_old_event_is_logged(self) -> None:
         logged = {
             node.value
             for path in (ROOT / "rosepick").rglob("*.py")
@@ -178,11 +178,11 @@
             for node in ast.walk(argument)
             if isinstance(node, ast.Constant)
         }
-        made = {f"lease_{state.name.lower()}" for state in LeaseState}
-        self.assertEqual({*EVENTS.values(), *FIELDS} - logged - made, set())
+        composed_names = {f"lease_{state.name.lower()}" for state in LeaseState}
+        self.assertEqual({*EVENTS.values(), *FIELDS} - logged - composed_names, set())
         self.assertEqual(logged & set(EVENTS), set())
 
-    def test_lines_are_found_by_event_in_both_words(self) -> None:
+    def test_lines_are_found_by_old_and_current_event_names(self) -> None:
         for text in ("event=witness_votes name=w1", "event=replica_voting name=w1"):
             self.assertTrue(line_has_event(f"time=x {text}", "replica_voting"))
             self.assertFalse(line_has_event(f"time=x {text}", "replica_started"))
@@ -190,9 +190,9 @@
 
 
 class RequestCountersTest(Scenario):
-    """What the engine counts while it serves."""
+    """Checks the request counters of a serving engine."""
 
-    def test_outcomes_have_their_cause_and_the_time_until_then(self) -> None:
+    def test_outcomes_are_counted_with_cause_and_duration(self) -> None:
         self.play("""
             c1 send GET /api/a Req-Deadline=1.000
             s1 expect GET /api/a
--- a/tests/test_lab_report.py
+++ b/tests/test_lab_report.py
@@ -1,4 +1,4 @@
-"""Grids played over processes, runs compared in pairs, and the page about runs."""
+"""Tests of grids, sweeps over several processes, comparisons of runs in pairs, and the report page."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
     changes: dict[str, Any],
     progress: Callable[[float], None] | None = None,
 ) -> tuple[RunResult, RunCost]:
-    """In no time, but: seed 1 is slow, 90 takes for ever, 91 fails, and 92 takes its process with it."""
+    """Return a run at once, but: seed 1 takes 0.3 s, 90 takes 60 s, 91 raises, and 92 ends its process."""
     time.sleep({1: 0.3, 90: 60.0}.get(seed, 0.0))
     if seed == 91:
         raise ValueError("no such policy")
@@ -93,7 +93,7 @@
 
 
 def sweep_to_file(path: Path, terms: list[str], workers: int, stop_at: int = 99) -> list[float]:
-    """Sweep into a file, interrupted after so many lines; how far it said that it was."""
+    """Sweep into a file, with an interrupt after `stop_at` lines; return the reported progress."""
     progress: list[float] = []
     written = 0
     for result in run_sweep(SweepJob(TEXT, "s.toml", play), parse_grid(terms), workers, progress.append):
@@ -109,7 +109,7 @@
 # ------------------------------------------------------------------------------------------------- the grid
 
 
-def test_a_grid_is_every_pair_with_the_last_term_fastest() -> None:
+def test_a_grid_has_every_combination_and_varies_the_last_term_fastest() -> None:
     cells = parse_grid(["traffic.rate=100,2.5", "policy=rosepick,7", "seed=2..3,9"])
     assert [str(cell) for cell in cells[:4]] == [
         "traffic.rate=100 policy=rosepick seed=2",
@@ -136,7 +136,7 @@
         ("a=b", ["a=b"]),
     ],
 )
-def test_values_are_toml_or_text(given: str, values: list[Any]) -> None:
+def test_values_are_parsed_as_toml_or_kept_as_text(given: str, values: list[Any]) -> None:
     values_found = [cell.changes["x.y"] for cell in parse_grid([f"x.y={given}"])]
     assert list(map(repr, values_found)) == list(map(repr, values))
 
@@ -159,7 +159,7 @@
         (["a", "b=", "c=1"], "a: has no '='\nb=: has an empty value"),
     ],
 )
-def test_bad_terms_are_named(terms: list[str], fault: str) -> None:
+def test_errors_name_the_invalid_terms(terms: list[str], fault: str) -> None:
     with pytest.raises(GridError) as caught:
         parse_grid(terms)
     assert str(caught.value) == fault
@@ -168,7 +168,7 @@
 # ------------------------------------------------------------------------------------------------ the sweep
 
 
-def test_the_same_bytes_with_any_number_of_workers(tmp_path: Path) -> None:
+def test_results_are_the_same_bytes_with_any_number_of_workers(tmp_path: Path) -> None:
     terms = ["traffic.rate=100,200", "seed=1..6"]
     for workers in (1, 3):
         progress = sweep_to_file(tmp_path / f"{workers}", terms, workers)
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize("workers", [1, 2])
-def test_what_is_done_stays_when_interrupted(tmp_path: Path, workers: int) -> None:
+def test_finished_cells_are_kept_after_an_interrupt(tmp_path: Path, workers: int) -> None:
     began = time.monotonic()
     with pytest.raises(KeyboardInterrupt):
         sweep_to_file(tmp_path / "runs", ["seed=5,6,90,7"], workers, stop_at=4)
@@ -195,7 +195,7 @@
     assert time.monotonic() - began < 30 and not active_children()
 
 
-def test_faulty_cells_are_named_before_anything_starts(tmp_path: Path) -> None:
+def test_invalid_cells_are_named_before_a_cell_runs(tmp_path: Path) -> None:
     with pytest.raises(ExperimentError) as caught:
         sweep_to_file(tmp_path / "runs", ["traffic.rate=100,0", "policy=a,b", "keys.count=1"], 1)
     assert caught.value.errors == (
@@ -215,7 +215,7 @@
         (92, 2, "s.toml: a worker process ended before its cell was done"),
     ],
 )
-def test_a_cell_that_fails_is_named(tmp_path: Path, seed: int, workers: int, message: str) -> None:
+def test_the_error_names_the_cell_that_failed(tmp_path: Path, seed: int, workers: int, message: str) -> None:
     with pytest.raises(CellError, match=f"^{re.escape(message)}$"):
         sweep_to_file(tmp_path / "runs", [f"seed={seed},90"], workers)
     assert not active_children()
@@ -228,7 +228,7 @@
     return [make_run("rosepick", seed, totals=first), make_run("random", seed, totals=other)]
 
 
-def test_a_comparison_by_hand() -> None:
+def test_a_comparison_agrees_with_a_calculation_by_hand() -> None:
     steps = ((0.90, 0.80, 90.0, 1), (0.92, 0.86, 80.0, 2), (0.94, 0.80, 70.0, 3))
     runs = [
         run
@@ -242,7 +242,7 @@
     (comparison,) = compare_runs(runs)
     assert (comparison.arms, comparison.seeds, comparison.left_out) == (("rosepick", "random"), (1, 2, 3), ())
     figures = {figure.name: figure for figure in comparison.figures}
-    # served: -0.10, -0.06, -0.14, of which the deviation is 0.04; 4.303 * 0.04 / sqrt(3) is 0.09937
+    # served: -0.10, -0.06, -0.14, with a standard deviation of 0.04; 4.303 * 0.04 / sqrt(3) is 0.09937
     served = figures["served_share"]
     assert served.means == pytest.approx({"rosepick": 0.92, "random": 0.82})
     step = served.differences["random"]
@@ -264,12 +264,12 @@
     assert comparison.as_dict()["figures"][0]["differences"]["random"]["word"] == "worse"
 
 
-def test_one_seed_tells_no_spread() -> None:
+def test_a_difference_of_one_seed_has_no_interval() -> None:
     (comparison,) = compare_runs(pair(1, {"served_share": 0.75}, {"served_share": 0.5}))
     assert comparison.figures[0].differences["random"] == FigureDifference(-0.25, None, None, "unknown")
 
 
-def test_what_has_no_partner_is_left_out_and_named() -> None:
+def test_runs_without_a_partner_are_left_out_and_listed() -> None:
     runs = [make_run("rosepick", n) for n in (1, 2, 3, 3)] + [make_run("[b]x", 1)]
     runs += [make_run("[b]x", 2, void="it stood still"), make_run("gone", 1, void="why")]
     (comparison,) = compare_runs(runs)
@@ -288,7 +288,7 @@
     assert compare_runs([]) == [] and compare_runs([make_run(void="x")])[0].arms == ()
 
 
-def test_by_a_setting_and_apart_by_what_else_differs() -> None:
+def test_runs_are_compared_by_a_setting_and_separately_for_other_differences() -> None:
     runs = [make_run(policy, 1, changes=changes) for policy in "ab" for changes in ({}, {"traffic.rate": 9})]
     assert [comparison.arms for comparison in compare_runs(runs, "traffic.rate")] == [
         ("traffic.rate as in the file", "traffic.rate=9"),
@@ -299,7 +299,7 @@
     ]
 
 
-def test_no_latency_is_not_the_best_one() -> None:
+def test_a_run_without_latency_does_not_count_as_the_fastest() -> None:
     (comparison,) = compare_runs(
         pair(1, {"served_share": 0.9, "p99_ms": 80.0}, {"served_share": 0.0, "p99_ms": 0.0})
     )
@@ -310,13 +310,13 @@
 
 
 def page(runs: list[RunResult], costs: list[RunCost] | None = None) -> str:
-    # not at the head: worker processes import this file, and have no need of it
+    # imported here, as worker processes import this file and do not need the report
     from rosepick.lab.report import render
 
     return render(runs, costs or [], "Noon <b>")
 
 
-def test_the_page_tells_all_and_loads_nothing() -> None:
+def test_the_page_escapes_and_lists_all_values_and_refers_to_no_other_file() -> None:
     runs = [
         make_run(
             "rose<b>",
@@ -326,7 +326,7 @@
         ),
         make_run("random", void="stood <still>"),
     ]
-    first = page(runs, [RunCost(9, 1.5, 2.5, 3, 4.0)] * 2)
+    shown = page(runs, [RunCost(9, 1.5, 2.5, 3, 4.0)] * 2)
     for text in (
         "Noon &lt;b&gt;",
         "rose&lt;b&gt;",
@@ -343,8 +343,8 @@
         "The first 50 of 60",
         "q49.",
     ):
-        assert text in first, text
-    assert "q50." not in first and first.index("runs void") < first.index("<table>")
+        assert text in shown, text
+    assert "q50." not in shown and shown.index("runs void") < shown.index("<table>")
     for tag in (
         "<b>r",
         "<i>",
@@ -357,14 +357,14 @@
         "http://",
         "https://",
     ):
-        assert tag not in first, tag
-    assert all(found.startswith("#") for found in re.findall(r'(?:src|href)="([^"]*)"', first))
-    assert all(found.startswith("#") for found in re.findall(r"url\(([^)]*)\)", first))
-    named = re.findall(r' id="([^"]*)"', first)
-    assert len(named) == len(set(named)) and set(re.findall(r"url\(#([^)]*)\)", first)) <= set(named)
+        assert tag not in shown, tag
+    assert all(link.startswith("#") for link in re.findall(r'(?:src|href)="([^"]*)"', shown))
+    assert all(link.startswith("#") for link in re.findall(r"url\(([^)]*)\)", shown))
+    ids = re.findall(r' id="([^"]*)"', shown)
+    assert len(ids) == len(set(ids)) and set(re.findall(r"url\(#([^)]*)\)", shown)) <= set(ids)
 
 
-def test_the_same_input_gives_the_same_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_page_is_the_same_bytes_for_the_same_input(monkeypatch: pytest.MonkeyPatch) -> None:
     from rosepick.lab.report import plots
 
     monkeypatch.setattr("rosepick.lab.report.page.PANELS", plots.PANELS[:3])
@@ -372,14 +372,14 @@
     assert page(runs) == page(runs)
 
 
-def test_nothing_to_draw_is_no_fault() -> None:
+def test_the_page_states_that_there_is_nothing_to_draw() -> None:
     empty = make_run("a", windows=[Window(at=n) for n in range(3)], totals={}, percentiles=[(50.0, 0.0)])
     shown = page([empty, make_run("b", windows=[], length=0.5, warm_up=0.0)])
     assert "Nothing to draw, or 0 throughout: Served in time" in shown
     assert "There are no runs" in page([])
 
 
-def test_long_lists_are_bounded() -> None:
+def test_long_lists_on_the_page_are_truncated() -> None:
     long = [Window(at=n, offered=5, in_time=5) for n in range(3000)]
     troubles = [FaultSpan("slow", n % 11, n % 11 + 1, f"n{n}") for n in range(40)]
     runs = [make_run(f"p{n}", windows=[], totals={}) for n in range(205)]
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -1,4 +1,4 @@
-"""A router that cannot confirm its endpoint list, on real processes: it may not act on what it remembers."""
+"""Tests with real processes that a router does not use a stale endpoint list that it could not confirm."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 NODE = 7
 
-# Half of the fleet drains while the routers are down, or while discovery turns away the calls that they make
-# at their start. The list that they are configured with is the one that they had last.
+# Half of the fleet drains while the routers are down, or while discovery rejects the calls that they make at
+# their start. Restarted routers are configured with the last list that they had.
 FLEET = """
 name = "stale list"
 length = 7.0
@@ -30,19 +30,19 @@
 
 
 def fleet_with(*faults: dict[str, Any]) -> Experiment:
-    """The fleet, with faults."""
+    """Return the fleet's experiment with faults."""
     return parse_experiment(FLEET, "test", {"troubles": list(faults)})
 
 
 def violations_of(experiment: Experiment, seed: int) -> list[str]:
-    """Play it on real processes; return the violations of the rule on drains."""
+    """Run an experiment with real processes; return the violations of the rule on drains."""
     run, _ = run_live(experiment, seed, {})
     assert run.totals["served_share"] > 0.3
     return [f"{one.at:.0f} {one.node}: {one.text}" for one in run.broken if one.rule == "drains"]
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_drain_while_restarted_routers_are_turned_away_by_discovery(seed: int) -> None:
+def test_a_drain_while_discovery_rejects_calls_of_restarted_routers(seed: int) -> None:
     experiment = fleet_with(
         {"kind": "router_kill", "at": 1.0, "for": 0.6, "routers": 2},
         {"kind": "discovery_busy", "at": 1.0, "for": 3.5, "share": 1.0},
@@ -61,7 +61,7 @@
 
 
 def in_order(begins: dict[str, float], routers: int) -> list[dict[str, Any]]:
-    """The faults of the incident, each beginning at its second, with all routers killed."""
+    """Return the three faults, which begin at the given seconds, with `routers` routers killed."""
     return [
         {"kind": "router_kill", "at": begins["router_kill"], "for": 0.6, "routers": routers},
         {"kind": "discovery_busy", "at": begins["discovery_busy"], "for": 3.0, "share": 1.0},
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("routers", [1, 12])
-def test_fleets_of_another_size(routers: int) -> None:
+def test_the_same_faults_with_one_router_and_with_twelve(routers: int) -> None:
     changes = {"routers.count": routers, "troubles": in_order(ALL_AT_ONCE, routers)}
     assert violations_of(parse_experiment(FLEET, "test", changes), 4) == []
 
@@ -89,8 +89,8 @@
     assert violations_of(experiment, seed) == []
 
 
-def test_an_answer_that_takes_as_long_as_discovery_lets_a_call_wait() -> None:
-    """Discovery writes the answer when the call is just overdue: it counts from then on."""
+def test_an_answer_that_arrives_just_after_the_call_timed_out() -> None:
+    """Discovery writes the answer just after the timeout of the call; the answer counts from then on."""
     experiment = fleet_with(
         {"kind": "discovery_slow", "at": 0.5, "for": 5.0, "by": 3.16},
         {"kind": "router_kill", "at": 1.0, "for": 0.6, "routers": 3},
@@ -100,25 +100,25 @@
 
 
 def known_since(tracker: NotificationTracker, now: float, drained_at: float = 100.0) -> float | None:
-    """Since when the router counts as knowing that the node drains, for an attempt at `now`."""
+    """Return from when on the router counts as notified that the node drains, for an attempt at `now`."""
     return tracker.drain_known_at(now, NODE, drained_at, 2)
 
 
-def test_what_is_written_counts_from_then_on() -> None:
+def test_a_written_notification_counts_from_the_time_of_writing() -> None:
     tracker = NotificationTracker()
     tracker.record_call()
-    assert known_since(tracker, 5_000.0) is None  # the call is open: discovery has not written anything
+    assert known_since(tracker, 5_000.0) is None  # the call is open: discovery has written nothing
     tracker.record_drain(5_100.0, NODE, 2)
     assert known_since(tracker, 5_200.0) == 5_100.0
 
 
-def test_a_restarted_process_counts_as_told_until_it_is_written_a_list() -> None:
+def test_a_restarted_process_counts_as_notified_until_it_is_sent_a_list() -> None:
     tracker = NotificationTracker()
     tracker.record_process_end()
     tracker.record_process_start(1_000.0)
     assert known_since(tracker, 999.0 + MAX_CALL_GAP_MS) is None
     tracker.record_call()
-    tracker.record_call_failed()  # it was turned away
+    tracker.record_call_failed()  # the call was rejected
     assert known_since(tracker, 1_001.0 + MAX_CALL_GAP_MS) == 1_000.0 + MAX_CALL_GAP_MS
     written = NotificationTracker()
     written.record_process_end()
@@ -144,7 +144,7 @@
     assert known_since(tracker, 101.0 + MAX_NOTIFICATION_DELAY_MS) == 100.0 + MAX_NOTIFICATION_DELAY_MS
 
 
-def test_nothing_counts_while_the_router_is_down_or_discovery_is() -> None:
+def test_no_notification_counts_while_the_router_or_discovery_is_down() -> None:
     tracker = NotificationTracker()
     tracker.record_process_end()
     assert known_since(tracker, 50_000.0) is None
