--- a/rosepick/lab/drill/cache_node.py
+++ b/rosepick/lab/drill/cache_node.py
@@ -1,8 +1,8 @@
-"""A cache node of a fault-injection test: a process with a cache, an admin listener and reports to discovery.
+"""Runs a cache node of a fault-injection test, with a cache, an admin listener and reports to discovery.
 
     python -m rosepick.lab.drill.cache_node NAME HOST:PORT ADMIN_HOST:PORT DISCOVERY_HOST:PORT EVENTS
 
-On a miss it fetches the value itself (read-through). It is cold until it has answered some requests.
+On a miss the node fetches the value itself (read-through). It is cold until it has answered some requests.
 """
 
 from __future__ import annotations
@@ -25,14 +25,13 @@
 from .history import FaultInjected, NodeRequestReceived
 from .stand_in_connection import StandInConnection
 
-# a node is warm after so many requests, or after so many seconds
-WARM_AFTER_REQUESTS = 25
-WARM_AFTER_S = 3.0
+WARM_AFTER_REQUESTS = 25  # a node that has answered this many requests is warm
+WARM_AFTER_S = 3.0  # a node that has run for this time is warm, even without requests
 FETCH_TIME_MS = 8.0
 HIT_TIME_MS = 1.0
 REPORT_INTERVAL_MS = 200.0
-ESTABLISHED_AGE_MS = 3_600_000
-IDLE_AFTER_S = 1.0  # without a request while the node drains
+ESTABLISHED_AGE_MS = 3_600_000  # age that a node reports at its first start
+IDLE_AFTER_S = 1.0  # a draining node without requests for this time is idle
 MAX_DESCRIPTORS = 4096
 LISTEN_BACKLOG = 512
 RESPONSE_BODY = b"v" * 200
@@ -42,14 +41,14 @@
     """Split HOST:PORT.
 
     Raises:
-        ValueError: if the port is no number.
+        ValueError: the port is not a number.
     """
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 class CacheNodeConnection(StandInConnection):
-    """A connection of a router; it has one request in flight at a time."""
+    """Handles a connection of a router, which has one request in flight at a time."""
 
     def __init__(self, node: CacheNodeStandIn, sock: socket.socket) -> None:
         self._node = node
@@ -61,7 +60,7 @@
 
 
 class CacheNodeStandIn:
-    """The cache node: its listeners, its cache and its reports; addresses are HOST:PORT."""
+    """Simulates a cache node: its listeners, cache and reports. Addresses are HOST:PORT."""
 
     def __init__(self, name: str, listen: str, admin_address: str, discovery: str, events: str) -> None:
         self.name = name
@@ -69,7 +68,7 @@
         self.budget = ResourceBudget(MAX_DESCRIPTORS)
         is_first_start = not os.path.exists(events) or not os.path.getsize(events)
         self._started_at = drill_clock()
-        # the fleet of a test is an established one: only a node that is restarted is cold
+        # a test begins with a fleet that is warm, so only restarted nodes are cold
         self._boot_ms = round(time.time() * 1000.0) - (ESTABLISHED_AGE_MS if is_first_start else 0)
         self.event_log = EventLog(events)
         start_kind = "first start" if is_first_start else "cold start"
@@ -101,7 +100,7 @@
             return
 
     def handle_request(self, connection: CacheNodeConnection, request: HttpRequest) -> None:
-        """Answer a request after the time that a hit or a fetch takes."""
+        """Record a request, and answer it after the time that a hit or a fetch takes."""
         self._last_request_at = drill_clock()
         request_id = request.header_text(b"req-id")
         self.event_log.append(
@@ -169,7 +168,7 @@
         self._udp.sendto(msgspec.json.encode((self.name, state, self._boot_ms)), self._discovery)
 
     def stop(self) -> None:
-        """Report to discovery that the node leaves, and end the event loop."""
+        """Report to discovery that the node has left, and end the event loop."""
         self._report_state("left")
         self.loop.stop()
 
--- a/rosepick/lab/drill/discovery_stand_in.py
+++ b/rosepick/lab/drill/discovery_stand_in.py
@@ -1,4 +1,4 @@
-"""The discovery service of a fault-injection test, which runs on the event loop of the harness.
+"""Simulates the discovery service of a fault-injection test, on the event loop of the harness.
 
 Cache nodes report their states in datagrams; routers watch the endpoint list. The service records which
 router was notified of which state, and when.
@@ -20,7 +20,7 @@
 from .event_log import drill_clock
 from .stand_in_connection import StandInConnection
 
-NODE_TIMEOUT_S = 1.5  # without a report of a node, until the node is listed as one that has left
+NODE_TIMEOUT_S = 1.5  # a node without a report for this time is listed as one that has left
 EXPIRY_INTERVAL_MS = 200.0
 MAX_DATAGRAM_BYTES = 4096
 MAX_DESCRIPTORS = 4096
@@ -29,7 +29,7 @@
 
 
 class NodeReport(NamedTuple):
-    """What a node reports: an array of JSON."""
+    """A report of a node, a JSON array on the wire."""
 
     name: str
     state: str
@@ -37,14 +37,14 @@
 
 
 class NodeAddress(NamedTuple):
-    """Where a node is."""
+    """The address of a node (HOST:PORT) and its zone."""
 
     endpoint: str
     zone: str
 
 
 class NodeState(NamedTuple):
-    """The state of a node, and the revision of the endpoint list that brought it."""
+    """The state of a node, and the revision of the endpoint list in which it changed to that."""
 
     revision: int
     state: str
@@ -52,7 +52,7 @@
 
 
 class Notification(NamedTuple):
-    """When a router was first notified of a state of a node; in seconds of the test's clock."""
+    """The time in seconds of the test's clock at which a router was first notified of a node's state."""
 
     at: float
     state: str
@@ -62,14 +62,14 @@
 
 
 class DiscoveryStandIn:
-    """The endpoint list of all cache nodes.
+    """Keeps the endpoint list of all cache nodes and serves it to routers.
 
     Args:
-        loop: the event loop that it runs on.
+        loop: the event loop that the service runs on.
         host: the address of all its sockets.
         port: the port for the reports of nodes.
         nodes: the addresses of all nodes, by name.
-        listen_ports: a port for each router, by name, so that routers can be told apart.
+        listen_ports: a port for each router, by name; the port of a connection identifies the router.
     """
 
     def __init__(
@@ -116,8 +116,8 @@
         self._set_state(report)
 
     def _set_state(self, report: NodeReport) -> None:
-        present = self.node_states.get(report.name)
-        if present is not None and (present.state, present.boot_ms) == (report.state, report.boot_ms):
+        current = self.node_states.get(report.name)
+        if current is not None and (current.state, current.boot_ms) == (report.state, report.boot_ms):
             return
         self.revision += 1
         self.node_states[report.name] = NodeState(self.revision, report.state, report.boot_ms)
@@ -131,17 +131,17 @@
         self.loop.call_after(EXPIRY_INTERVAL_MS, self._expire_silent_nodes)
 
     def endpoint_document(self, router: str, after: int | None) -> dict[str, Any]:
-        """Return the document for a router, and record that the router is notified.
+        """Return the endpoint list for a router, and record that the router is notified of it.
 
-        It has the nodes that have changed after a revision, or all nodes if that is None.
+        The list has the nodes that have changed after the revision `after`, or all nodes if that is None.
         """
         rows = []
         for name, node in self.node_states.items():
             if after is not None and node.revision <= after:
                 continue
             rows.append(self._endpoint_row(name, node))
-            last = self.notified.get((router, name))
-            if last is None or last.state != node.state:
+            last_notification = self.notified.get((router, name))
+            if last_notification is None or last_notification.state != node.state:
                 self.notified[router, name] = Notification(drill_clock(), node.state)
         return {"rev": self.revision, "all": after is None, "targets": rows}
 
@@ -159,18 +159,18 @@
         }
 
     def has_changes_since(self, after: int) -> bool:
-        """Return whether a node has changed after a revision."""
+        """Return whether a node has changed after the revision `after`."""
         return any(node.revision > after for node in self.node_states.values())
 
     def close(self) -> None:
-        """Close the sockets that it listens on."""
+        """Close all listening sockets and the socket for reports."""
         for sock in (*self._listening_sockets, self._udp):
             self.loop.unregister(sock)
             sock.close()
 
 
 class DiscoveryWatcher(StandInConnection):
-    """A connection of a router, which asks for changes by long polling."""
+    """Handles a connection of a router, which asks for changes by long polling."""
 
     def __init__(self, discovery: DiscoveryStandIn, router: str, sock: socket.socket) -> None:
         self.discovery = discovery
@@ -180,7 +180,7 @@
         super().__init__(discovery.loop, discovery.budget, sock)
 
     def handle_request(self, request: HttpRequest) -> None:
-        """Send the endpoint list, at once or when it has changed or the time to wait is over."""
+        """Send the endpoint list: at once, or when it has changed or the wait of the query is over."""
         query = parse_qs(urlsplit(request.target.decode("latin-1")).query)
         self._after = int(query["after"][0]) if "after" in query else None
         wait_ms = float(query["wait_ms"][0]) if "wait_ms" in query else 0.0
--- a/rosepick/lab/drill/forwarder.py
+++ b/rosepick/lab/drill/forwarder.py
@@ -1,7 +1,7 @@
-"""A TCP proxy on a link between two processes, which splits the stream into messages and injects faults.
+"""Proxies TCP on a link between two processes, splits the stream into messages and injects faults.
 
-Whole messages are lost, duplicated, delayed or reordered; bytes are sent slowly; connections are refused, cut
-silently in one or both directions, or left half-open.
+It can lose, duplicate, delay or reorder whole messages, send bytes slowly, refuse connections, silently drop
+all messages of one or both directions, or leave connections half-open.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from ...net.resource_budget import ResourceBudget
 from ...net.tcp_stream import TcpStream, dial
 
-TRICKLE_INTERVAL_MS = 10.0  # between two slices, where bytes are sent slowly
+TRICKLE_INTERVAL_MS = 10.0  # between two writes on a link with a limited rate of bytes
 UNLIMITED_BYTES = 1 << 30
 
 
 @dataclass(slots=True)
 class LinkFaults:
-    """The faults of a link; rates are shares of its messages, from 0 to 1."""
+    """The faults of a link; each rate is the share of messages that the fault hits, from 0 to 1."""
 
     drops_requests: bool = False  # nothing reaches the server
     drops_replies: bool = False  # nothing reaches the client
@@ -32,12 +32,12 @@
     loss_rate: float = 0.0
     duplication_rate: float = 0.0
     reordering_rate: float = 0.0
-    max_reordering_delay_ms: float = 1000.0  # of messages that are reordered, and of duplicates
-    bytes_per_second: float = 0.0  # no limit if 0
+    max_reordering_delay_ms: float = 1000.0  # for reordered messages and duplicates
+    bytes_per_second: float = 0.0  # 0 means no limit
 
 
 class LinkEndpoints(NamedTuple):
-    """The port that a forwarder listens on, and the port that it connects to, both of one host."""
+    """The port that a forwarder listens on and the port that it connects to, both on one host."""
 
     host: str
     listen_port: int
@@ -45,14 +45,14 @@
 
 
 class ForwardedSocket:
-    """One socket of a connection through the forwarder."""
+    """Reads and writes messages on one socket of a forwarded connection."""
 
     def __init__(self, connection: ForwardedConnection, sock: socket.socket, connecting: bool) -> None:
         self.connection = connection
         self.connecting = connecting
         self.frames = FrameDecoder()
         self.outgoing: deque[bytes] = deque()
-        self._draining = False
+        self._is_send_scheduled = False
         link = connection.link
         self.stream = TcpStream(link.loop, link.budget, sock, self._on_ready, WRITE if connecting else READ)
 
@@ -70,7 +70,7 @@
             self._update_interest()
         except (OSError, DecodeError):
             if self.connection.frozen:
-                self.stream.set_events(0)  # the other side does not learn that this one was closed
+                self.stream.set_events(0)  # the peer must not learn that this side was closed
             else:
                 self.connection.close()
 
@@ -88,48 +88,48 @@
             self.stream.set_events(READ | (WRITE if self.stream.has_unwritten() else 0))
 
     def send(self, frame: bytes) -> None:
-        """Send a message, after those that are queued."""
+        """Queue a message, and send it after those queued before."""
         if not self.stream.is_open:
             return
         self.outgoing.append(frame)
-        if not self._draining and not self.connecting:
+        if not self._is_send_scheduled and not self.connecting:
             self._send_outgoing()
 
     def _send_outgoing(self) -> None:
-        self._draining = False
+        self._is_send_scheduled = False
         if not self.stream.is_open:
             return
         rate = self.connection.link.faults.bytes_per_second
-        left = max(1, int(rate * TRICKLE_INTERVAL_MS / 1000.0)) if rate else UNLIMITED_BYTES
+        bytes_left = max(1, int(rate * TRICKLE_INTERVAL_MS / 1000.0)) if rate else UNLIMITED_BYTES
         try:
-            while self.outgoing and left > 0:
+            while self.outgoing and bytes_left > 0:
                 frame = self.outgoing.popleft()
-                self.stream.send(frame[:left])
-                if len(frame) > left:
-                    self.outgoing.appendleft(frame[left:])
-                left -= len(frame)
+                self.stream.send(frame[:bytes_left])
+                if len(frame) > bytes_left:
+                    self.outgoing.appendleft(frame[bytes_left:])
+                bytes_left -= len(frame)
             self._update_interest()
         except OSError:
             self.connection.close()
             return
         if self.outgoing:
-            self._draining = True
+            self._is_send_scheduled = True
             self.connection.link.loop.call_after(TRICKLE_INTERVAL_MS, self._send_outgoing)
 
 
 class ForwardedConnection:
-    """A connection through the forwarder: a socket to the client, and one to the server."""
+    """Forwards messages between a socket to the client and a socket to the server."""
 
     def __init__(self, link: Forwarder, sock: socket.socket) -> None:
         self.link = link
-        self.frozen = False  # left open, with nothing forwarded any more
+        self.frozen = False  # left open, without forwarding anything
         self.client_side = ForwardedSocket(self, sock, connecting=False)
         self.server_side = ForwardedSocket(
             self, dial((link.endpoints.host, link.endpoints.target_port)), connecting=True
         )
 
     def forward(self, side: ForwardedSocket, frame: bytes) -> None:
-        """Forward a message that came from one side, as the faults of the link permit."""
+        """Forward a message that one side received, subject to the faults of the link."""
         link = self.link
         faults = link.faults
         is_request = side is self.client_side
@@ -166,7 +166,7 @@
 
 
 class Forwarder:
-    """The proxy of one link; `counts` has the messages that were hit by each kind of fault."""
+    """Accepts the connections of one link; `counts` has the messages that each kind of fault has hit."""
 
     def __init__(
         self,
@@ -186,7 +186,7 @@
         self.open()
 
     def open(self) -> None:
-        """Accept connections, as before a call of `refuse`."""
+        """Listen for connections, at first and again after a call of `refuse`."""
         if self._sock is None:
             self._sock = socket.create_server((self.endpoints.host, self.endpoints.listen_port), backlog=64)
             self._sock.setblocking(False)
@@ -203,7 +203,7 @@
             connection.close()
 
     def freeze(self) -> None:
-        """Leave all present connections open, and forward nothing on them."""
+        """Leave all current connections open, and forward nothing on them."""
         for connection in self.connections:
             connection.frozen = True
 
--- a/rosepick/lab/drill/harness.py
+++ b/rosepick/lab/drill/harness.py
@@ -1,4 +1,4 @@
-"""Fault-injection test of leases on real processes of the program."""
+"""Runs the fault-injection test of leases on real processes of the program."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from .takeover_check import TakeoverCheck
 
 RUNNER_RESTART_INTERVAL_MS = 500.0
-QUIET_TTLS = 2.0  # after the last fault, in multiples of the lease's time to live
+QUIET_TTLS = 2.0  # added to the quiet time after the last fault, in multiples of a lease's time to live
 
 
 class LeaseHarness(ProcessCluster):
@@ -32,7 +32,7 @@
 
     def __init__(self, drill: Drill, seed: int, folder: Path) -> None:
         super().__init__(drill, seed, folder)
-        self.figures: dict[str, float] = {}
+        self.measurements: dict[str, float] = {}
         self.quorum_operator = QuorumOperator(self)
         self.link_faults = LinkFaultInjector(self)
         self.storage_faults = StorageFaultInjector(self, self.link_faults)
@@ -47,7 +47,7 @@
             }
         )
 
-    # -- running
+    # -- the run
 
     def run(self) -> DrillRun:
         """Run the whole test.
@@ -76,26 +76,26 @@
         report.violations += takeover.check(events, faults_stopped_at)
         report.violations += self.storage_faults.check_log_lines()
         self._finish_report(report)
-        self.figures["seconds"] = drill_clock() - started_at
-        return DrillRun(report, events, self.folder, self.seed, self.figures)
+        self.measurements["seconds"] = drill_clock() - started_at
+        return DrillRun(report, events, self.folder, self.seed, self.measurements)
 
     def _read_history(self, other_events: Sequence[AnyEvent] = ()) -> list[AnyEvent]:
-        """Merge the events of all processes, of this one and some other ones, by time."""
+        """Merge the events of all processes, those of the harness and `other_events` in order of time."""
         recorded = history.read_events([*self.folder.glob("*.events")])
         return sorted([*recorded, *self.events, *other_events], key=lambda event: event.at)
 
     def _finish_report(self, report: InvariantReport) -> None:
-        """Add the counts of this process and of the links, and check that they are high enough."""
+        """Add the counts of the harness and of the links, and check the minimum counts of the drill file."""
         report.counts += self.counts
         for link in self.links.values():
             report.counts.update({f"messages {kind}": count for kind, count in link.counts.items()})
         report.violations += self._check_minimum_counts(report)
 
     def _draw_fault_plan(self) -> FaultPlan:
-        """Draw the plan, without pauses of runners.
+        """Draw the fault plan, without pauses of runners.
 
-        A command under `lease run` goes on while its runner, which would end it, is paused; only the fencing
-        guard is effective then.
+        A command under `lease run` continues while its runner, which would end it, is paused. Only the
+        fencing guard protects the resource then.
         """
         settings = self.drill.faults
         plan = FaultPlan.draw(
@@ -119,20 +119,21 @@
         """Start all processes and wait for the first lease.
 
         Raises:
-            DrillRunError: something did not start in time.
+            DrillRunError: a replica did not start, the quorum was not founded or no worker acquired a
+                lease in time.
         """
         self.processes["resource"].start()
         self.quorum_operator.bootstrap_quorum()
         for name in [*self.workers, *self.runners]:
             self.processes[name].start()
         if not self.run_until(self._has_lease_holder, START_TIMEOUT_S):
-            raise DrillRunError("nobody took a lease")
+            raise DrillRunError("no worker acquired a lease")
 
     def _has_lease_holder(self) -> bool:
         return any(self.has_logged(name, "lease_held") for name in self.workers)
 
     def _restart_ended_runners(self) -> None:
-        """Restart runners whose command has ended; repeatedly."""
+        """Restart the runners whose command has ended, and schedule the next check."""
         for name in self.runners:
             process = self.processes[name]
             if not process.running and not process.stopped:
@@ -140,7 +141,7 @@
         self.loop.call_after(RUNNER_RESTART_INTERVAL_MS, self._restart_ended_runners)
 
     def _stop_faults(self) -> None:
-        """End all faults for good."""
+        """End all faults and start all processes that do not run, except runners."""
         self.link_faults.heal_all()
         for name, process in self.processes.items():
             process.resume()
@@ -151,10 +152,10 @@
         return [
             Violation(
                 LeaseInvariant.MINIMUM_COUNTS.value,
-                f"{name}: {report.counts[name]}, at least {least} are wanted",
+                f"{name}: {report.counts[name]}, at least {minimum} are required",
             )
-            for name, least in self.drill.least.items()
-            if report.counts[name] < least
+            for name, minimum in self.drill.least.items()
+            if report.counts[name] < minimum
         ]
 
     def _stop_processes(self) -> None:
@@ -165,8 +166,8 @@
     # -- faults
 
     def _inject(self, number: int, fault: Fault) -> None:
-        """Inject a fault, or put it off while a storage or the quorum must not be disturbed."""
-        if self._must_put_off(fault):
+        """Inject a fault, or skip it while it could cost the quorum the majority of its storages."""
+        if self._must_skip(fault):
             self.counts["faults put off"] += 1
             return
         self.counts[f"fault {fault.kind}"] += 1
@@ -174,11 +175,11 @@
         self.events.append(FaultInjected(target, drill_clock(), fault.kind.value, f"{fault.length:.2f} s"))
         self.fault_handlers.inject(number, fault)
 
-    def _must_put_off(self, fault: Fault) -> bool:
+    def _must_skip(self, fault: Fault) -> bool:
         clients_and_tasks = {*self.workers, *self.runners, *self.tasks}
         if self.storage_faults.replica is not None and not set(fault.target) <= clients_and_tasks:
             return True
-        # a majority of the storages has to live
+        # a change of the quorum requires that a majority of its members keeps its storages
         return fault.kind in QUORUM_CHANGING_FAULTS and self.quorum_operator.is_changing_quorum()
 
     def _kill(self, _number: int, fault: Fault) -> None:
--- a/rosepick/lab/drill/instrumented_client.py
+++ b/rosepick/lab/drill/instrumented_client.py
@@ -1,4 +1,4 @@
-"""A client of the quorum that records its operations in a history."""
+"""Defines a client of the quorum that records its operations in a history."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 
 class InstrumentedQuorumClient(QuorumClient):
-    """A client that records each operation when it ends, by the clock of the test.
+    """Records each operation when it ends, with the time of the test's clock.
 
-    `open_operations` has those that have not ended, by their change ids. With `records_operation_start`
-    changes are recorded when they begin, too, for a process that may be killed.
+    `open_operations` has the operations that have not ended, by their change ids. With
+    `records_operation_start`, changes are also recorded when they begin, since the process may be killed
+    before they end.
     """
 
     records_operation_start = False
@@ -39,18 +40,18 @@
         on_outcome: Callable[[OperationOutcome], None],
         timeout_ms: float,
     ) -> str:
-        """Begin an operation as `QuorumClient.execute` does, and record it."""
-        begin = self._clock()
+        """Begin an operation like `QuorumClient.execute`, and record it."""
+        started_at = self._clock()
         change_id = ""
 
-        def record_and_pass_on(outcome: OperationOutcome) -> None:
+        def record_outcome(outcome: OperationOutcome) -> None:
             self.open_operations.pop(change_id, None)
             register = outcome.register
             self._record_event(
                 RegisterOperation(
                     self._name,
                     self._clock(),
-                    begin,
+                    started_at,
                     key,
                     change_id,
                     outcome.kind.value,
@@ -61,8 +62,8 @@
             )
             on_outcome(outcome)
 
-        change_id = super().execute(key, change, record_and_pass_on, timeout_ms)
-        operation = RegisterOperation(self._name, begin, begin, key, change_id, "open")
+        change_id = super().execute(key, change, record_outcome, timeout_ms)
+        operation = RegisterOperation(self._name, started_at, started_at, key, change_id, "open")
         self.open_operations[change_id] = operation
         if change is not None and self.records_operation_start:
             self._record_event(operation)
--- a/rosepick/lab/drill/lease_benchmark.py
+++ b/rosepick/lab/drill/lease_benchmark.py
@@ -1,5 +1,7 @@
-"""What a lease costs: time to take and to renew, a witness under many holders, its storage after many
-renewals.
+"""Measures the cost of leases.
+
+It measures the time to acquire, renew and take over a lease, the load of a replica under many holders and the
+size of its storage after many renewals.
 """
 
 from __future__ import annotations
@@ -40,7 +42,7 @@
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(1, 60_000_000, 3)  # microseconds
+    return HdrHistogram(1, 60_000_000, 3)  # values are microseconds
 
 
 def _format_percentiles(histogram: HdrHistogram) -> str:
@@ -50,16 +52,16 @@
 
 @contextmanager
 def _running_quorum(count: int) -> Iterator[tuple[QuorumClient, EventLoop, dict[str, ManagedProcess]]]:
-    """A founded quorum of real processes, and a client of it."""
+    """Run a quorum of `count` real processes, and yield a client, its event loop and the processes."""
     host = unique_loopback_address()
     endpoints = {f"w{n}": (host, FIRST_PORT + n) for n in range(count)}
-    with tempfile.TemporaryDirectory(prefix="rosepick-leases-") as scratch:
-        folder = Path(scratch)
+    with tempfile.TemporaryDirectory(prefix="rosepick-leases-") as temporary_folder:
+        folder = Path(temporary_folder)
         lines = ["[witnesses]", *(f'{name} = "{host}:{port}"' for name, (host, port) in endpoints.items())]
         (folder / "fleet.toml").write_text("\n".join(lines), "utf-8")
-        given = ["--fleet", "fleet.toml", "--folder"]
+        options = ["--fleet", "fleet.toml", "--folder"]
         processes = {
-            name: ManagedProcess(name, folder, 1.0, "rosepick", ["witness", "run", name, *given, name])
+            name: ManagedProcess(name, folder, 1.0, "rosepick", ["witness", "run", name, *options, name])
             for name in endpoints
         }
         loop = EventLoop(boottime_s)
@@ -76,200 +78,226 @@
 
 
 def _run_until(loop: EventLoop, condition: Callable[[], bool], seconds: float = 30.0) -> None:
-    end = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while not condition():
-        if time.monotonic() > end:
-            raise TimeoutError("a quorum of the measurement does not answer")
+        if time.monotonic() > deadline:
+            raise TimeoutError("the measured quorum does not answer in time")
         loop.step(0.01)
 
 
 def _bootstrap_quorum(client: QuorumClient, loop: EventLoop) -> None:
-    def all_told() -> bool:
+    def has_all_statuses() -> bool:
         client.poll_status()
         return len(client.replica_statuses) == len(client.connections)
 
-    _run_until(loop, all_told)
+    _run_until(loop, has_all_statuses)
     members = tuple(
-        QuorumMember(name, told.status.storage_id) for name, told in client.replica_statuses.items()
+        QuorumMember(name, replica.status.storage_id) for name, replica in client.replica_statuses.items()
     )
-    done: set[str] = set()
+    installed: set[str] = set()
     quorum = Quorum("measured", 1, members)
     client.send_to_all(
-        lambda number: m.InstallEpochRequest(number, quorum, {}), lambda name, answer: done.add(name)
+        lambda number: m.InstallEpochRequest(number, quorum, {}), lambda name, reply: installed.add(name)
     )
-    _run_until(loop, lambda: len(done) == len(members))
+    _run_until(loop, lambda: len(installed) == len(members))
 
-    def known() -> bool:
+    def knows_quorum() -> bool:
         client.poll_status()
         return client.quorum is not None
 
-    _run_until(loop, known)
+    _run_until(loop, knows_quorum)
 
 
 def measure_lease_latency(witnesses: int, rounds: int) -> str:
-    """Time to take a lease, and to renew it, one after the other."""
-    take, renew = _histogram(), _histogram()
+    """Measure the times to acquire a lease and to renew it, in `rounds` sequential rounds."""
+    acquire_times, renew_times = _histogram(), _histogram()
     with _running_quorum(witnesses) as (client, loop, _):
         for number in range(rounds):
             key = lease_record.register_key(f"task {number}")
             for change, histogram in (
-                (lease_record.acquire(lease_record.LeaseRecord(), client.client_id, "a", 10_000.0), take),
-                (lease_record.renew(client.client_id, 1, 10_000.0), renew),
+                (
+                    lease_record.acquire(lease_record.LeaseRecord(), client.client_id, "a", 10_000.0),
+                    acquire_times,
+                ),
+                (lease_record.renew(client.client_id, 1, 10_000.0), renew_times),
             ):
                 outcomes: list[OperationOutcome] = []
-                began = time.perf_counter()
+                started_at = time.perf_counter()
                 client.execute(key, change, outcomes.append, 5_000.0)
                 _run_until(loop, lambda outcomes=outcomes: bool(outcomes))  # type: ignore[misc]
-                histogram.record_value(int(1e6 * (time.perf_counter() - began)))
-    return f"{witnesses} witnesses: take {_format_percentiles(take)}   renew {_format_percentiles(renew)}"
+                histogram.record_value(int(1e6 * (time.perf_counter() - started_at)))
+    return (
+        f"{witnesses} witnesses: acquire {_format_percentiles(acquire_times)}   "
+        f"renew {_format_percentiles(renew_times)}"
+    )
 
 
 def measure_lock_file(rounds: int) -> str:
-    """The limit: a lock file of one machine, with a token in it that is on the disk."""
-    take = _histogram()
-    with tempfile.TemporaryDirectory(prefix="rosepick-lock-") as scratch:
+    """Measure the lower bound: a lock file on one machine, in which a token is synced to disk."""
+    acquire_times = _histogram()
+    with tempfile.TemporaryDirectory(prefix="rosepick-lock-") as temporary_folder:
         for number in range(rounds):
-            began = time.perf_counter()
-            file = os.open(Path(scratch) / "lock", os.O_RDWR | os.O_CREAT, 0o644)
+            started_at = time.perf_counter()
+            file = os.open(Path(temporary_folder) / "lock", os.O_RDWR | os.O_CREAT, 0o644)
             fcntl.flock(file, fcntl.LOCK_EX)
             os.pwrite(file, b"%d" % number, 0)
             os.fdatasync(file)
             os.close(file)
-            take.record_value(int(1e6 * (time.perf_counter() - began)))
-    return f"a lock file:  take {_format_percentiles(take)}"
+            acquire_times.record_value(int(1e6 * (time.perf_counter() - started_at)))
+    return f"a lock file:  acquire {_format_percentiles(acquire_times)}"
 
 
 def _cpu_seconds(process: ManagedProcess) -> float:
-    """Seconds of processor time of a process."""
+    """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{process.pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 class CountingConnection:
-    """A way to a witness whose bytes are counted, both ways."""
+    """Counts the bytes of requests that are sent on a connection to a replica."""
 
     def __init__(self, connection: ReplicaConnection) -> None:
         self._connection, self.bytes_sent = connection, 0
 
     def send(self, request: m.QuorumRequest) -> None:
-        """Send it."""
+        """Send a request, and count its bytes."""
         self.bytes_sent += len(codec.encode_frame(request))
         self._connection.send(request)
 
     def close(self) -> None:
-        """Let go of it."""
+        """Close the connection."""
         self._connection.close()
 
 
 class TrafficCounter:
-    """Counts the bytes that a client and its witnesses say to each other."""
+    """Counts the bytes that a client and its replicas send to each other."""
 
     def __init__(self) -> None:
         self.connections: dict[str, CountingConnection] = {}
         self.bytes_received = 0
 
-    def counting(
-        self, links: Callable[[QuorumReplyCallback], Mapping[str, ReplicaConnection]]
+    def wrap_connections(
+        self, create_connections: Callable[[QuorumReplyCallback], Mapping[str, ReplicaConnection]]
     ) -> Callable[[QuorumReplyCallback], Mapping[str, ReplicaConnection]]:
-        """The same ways, counted."""
+        """Return a factory of the same connections that counts their bytes."""
 
-        def made(heard: QuorumReplyCallback) -> Mapping[str, ReplicaConnection]:
-            def come(name: str, answer: m.QuorumReply) -> None:
-                self.bytes_received += len(codec.encode_frame(answer))
-                heard(name, answer)
+        def create_counting_connections(on_reply: QuorumReplyCallback) -> Mapping[str, ReplicaConnection]:
+            def count_reply(name: str, reply: m.QuorumReply) -> None:
+                self.bytes_received += len(codec.encode_frame(reply))
+                on_reply(name, reply)
 
-            self.connections = {name: CountingConnection(asks) for name, asks in links(come).items()}
+            self.connections = {
+                name: CountingConnection(connection)
+                for name, connection in create_connections(count_reply).items()
+            }
             return self.connections
 
-        return made
+        return create_counting_connections
 
     def bytes_per_replica(self) -> float:
-        """Bytes so far of one witness, there and back."""
-        return (sum(one.bytes_sent for one in self.connections.values()) + self.bytes_received) / max(
-            1, len(self.connections)
-        )
+        """Return the mean number of bytes sent and received for each replica so far."""
+        return (
+            sum(connection.bytes_sent for connection in self.connections.values()) + self.bytes_received
+        ) / max(1, len(self.connections))
 
 
 def measure_takeover(rounds: int, ttl: float = 2_000.0) -> str:
-    """How long after its holder was cut off from all witnesses the next one may act, and until when the old
-    one still could.
+    """Measure a takeover after the holder is cut off from all replicas.
+
+    The result has two times since the cut: when the next holder may act, and until when the old one may act.
+
+    Args:
+        rounds: the number of takeovers.
+        ttl: the time to live of the lease in milliseconds.
     """
-    taken = _histogram()
-    last = _histogram()
+    next_holder_times = _histogram()
+    old_holder_times = _histogram()
     with _running_quorum(3) as (client, loop, processes):
         host, budget, rng = unique_loopback_address(), ResourceBudget(4096), random.Random(2)
-        ways = [
+        forwarders = [
             Forwarder(loop, budget, LinkEndpoints(host, FIRST_PORT + 100 + n, FIRST_PORT + n), rng)
             for n in range(len(processes))
         ]
-        ends = {f"w{n}": (host, way.endpoints.listen_port) for n, way in enumerate(ways)}
+        endpoints = {
+            f"w{n}": (host, forwarder.endpoints.listen_port) for n, forwarder in enumerate(forwarders)
+        }
         for number in range(rounds):
-            other = QuorumClient(loop, tcp_connections(loop, ends, b""), rng)
-            first = LeaseHolder(other, f"cut {number}", "first", LeaseConfig(ttl))
+            cut_off_client = QuorumClient(loop, tcp_connections(loop, endpoints, b""), rng)
+            first = LeaseHolder(cut_off_client, f"cut {number}", "first", LeaseConfig(ttl))
             _run_until(loop, first.may_act)
             second = LeaseHolder(client, f"cut {number}", "second", LeaseConfig(ttl))
             _run_until(loop, lambda second=second: second.lease_client.known_record is not None)  # type: ignore[misc]
-            until = loop.now() + rng.uniform(0.5, 1.2) * ttl
-            _run_until(loop, lambda until=until: loop.now() >= until)  # type: ignore[misc]
-            for way in ways:
-                way.faults.drops_requests = way.faults.drops_replies = True
-            began = loop.now()
+            cut_at = loop.now() + rng.uniform(0.5, 1.2) * ttl
+            _run_until(loop, lambda cut_at=cut_at: loop.now() >= cut_at)  # type: ignore[misc]
+            for forwarder in forwarders:
+                forwarder.faults.drops_requests = forwarder.faults.drops_replies = True
+            started_at = loop.now()
             while not second.may_act():
                 if first.may_act():
-                    said = loop.now()
+                    last_acted_at = loop.now()
                 loop.step(0.002)
-            taken.record_value(int(1000.0 * (loop.now() - began)))
-            last.record_value(max(1, int(1000.0 * (said - began))))
-            for way in ways:
-                way.faults.drops_requests = way.faults.drops_replies = False
+            next_holder_times.record_value(int(1000.0 * (loop.now() - started_at)))
+            old_holder_times.record_value(max(1, int(1000.0 * (last_acted_at - started_at))))
+            for forwarder in forwarders:
+                forwarder.faults.drops_requests = forwarder.faults.drops_replies = False
             second.release()
-            other.close()
-        for way in ways:
-            way.close()
-    told = f"next one acts after {_format_percentiles(taken)}, old one until {_format_percentiles(last)}"
-    return f"cut off, ttl {ttl / 1000:.0f} s: {told}"
+            cut_off_client.close()
+        for forwarder in forwarders:
+            forwarder.close()
+    result = (
+        f"next holder acts after {_format_percentiles(next_holder_times)}, "
+        f"old one until {_format_percentiles(old_holder_times)}"
+    )
+    return f"cut off, ttl {ttl / 1000:.0f} s: {result}"
 
 
 def measure_holders(count: int, seconds: float, ttl: float = 10_000.0) -> str:
-    """Processor time and messages of a witness while so many leases are held, each of its own task."""
+    """Measure the load of a replica while `count` leases of different tasks are held for `seconds`.
+
+    The time to live `ttl` is in milliseconds.
+    """
     with _running_quorum(3) as (_, loop, processes):
-        scale, host = TrafficCounter(), unique_loopback_address()
-        ends = {name: (host, FIRST_PORT + n) for n, name in enumerate(processes)}
-        client = QuorumClient(loop, scale.counting(tcp_connections(loop, ends, b"")), random.Random(3))
-        keepers = [LeaseHolder(client, f"task {n}", f"holder {n}", LeaseConfig(ttl)) for n in range(count)]
+        traffic, host = TrafficCounter(), unique_loopback_address()
+        endpoints = {name: (host, FIRST_PORT + n) for n, name in enumerate(processes)}
+        client = QuorumClient(
+            loop, traffic.wrap_connections(tcp_connections(loop, endpoints, b"")), random.Random(3)
+        )
+        holders = [LeaseHolder(client, f"task {n}", f"holder {n}", LeaseConfig(ttl)) for n in range(count)]
         _run_until(
-            loop, lambda: all(keeper.lease_client.state is LeaseState.HELD for keeper in keepers), 60.0
+            loop, lambda: all(holder.lease_client.state is LeaseState.HELD for holder in holders), 60.0
         )
-        before, asked = (
+        cpu_before, operations_before = (
             {name: _cpu_seconds(process) for name, process in processes.items()},
             client.counters.operations,
         )
-        began, said = time.monotonic(), scale.bytes_per_replica()
-        while time.monotonic() - began < seconds:
+        started_at, bytes_before = time.monotonic(), traffic.bytes_per_replica()
+        while time.monotonic() - started_at < seconds:
             loop.step(0.05)
-        used = max(_cpu_seconds(process) - before[name] for name, process in processes.items()) / seconds
-        rate = (client.counters.operations - asked) / seconds
-        said = (scale.bytes_per_replica() - said) / seconds / 1024.0
-        held = sum(keeper.lease_client.state is LeaseState.HELD for keeper in keepers)
+        cpu_share = (
+            max(_cpu_seconds(process) - cpu_before[name] for name, process in processes.items()) / seconds
+        )
+        renewals_per_s = (client.counters.operations - operations_before) / seconds
+        kib_per_s = (traffic.bytes_per_replica() - bytes_before) / seconds / 1024.0
+        held = sum(holder.lease_client.state is LeaseState.HELD for holder in holders)
     return (
-        f"{count} holders, ttl {ttl / 1000:.0f} s: {rate:.0f} renewals/s, "
-        f"{100 * used:.1f}% of a core and {said:.1f} KiB/s a witness, {held} held"
+        f"{count} holders, ttl {ttl / 1000:.0f} s: {renewals_per_s:.0f} renewals/s, "
+        f"{100 * cpu_share:.1f}% of a core and {kib_per_s:.1f} KiB/s a witness, {held} held"
     )
 
 
 def measure_storage(renewals: int) -> str:
-    """Size of a witness's folder while one register is changed over and over."""
-    with tempfile.TemporaryDirectory(prefix="rosepick-storage-") as scratch:
-        store = AcceptorStore(Path(scratch), "disk")
-        witness = Acceptor("w", store.state, "run")
-        witness.handle(m.InstallEpochRequest(1, Quorum("f", 1, (QuorumMember("w", "disk"),)), {}))
+    """Measure the size of a replica's folder after many changes of one register."""
+    with tempfile.TemporaryDirectory(prefix="rosepick-storage-") as temporary_folder:
+        store = AcceptorStore(Path(temporary_folder), "disk")
+        acceptor = Acceptor("w", store.state, "run")
+        acceptor.handle(m.InstallEpochRequest(1, Quorum("f", 1, (QuorumMember("w", "disk"),)), {}))
         sizes = []
         for number in range(1, renewals + 1):
             value = Register(number, f"{number:016x}", bytes(80))
-            _, changes = witness.handle(m.AcceptRequest(number, "f", 1, "k", m.Ballot(number, 1), value))
+            _, changes = acceptor.handle(m.AcceptRequest(number, "f", 1, "k", m.Ballot(number, 1), value))
             store.save(changes)
             if number in (renewals // 10, renewals):
-                sizes.append(sum(path.stat().st_size for path in Path(scratch).iterdir()))
+                sizes.append(sum(path.stat().st_size for path in Path(temporary_folder).iterdir()))
         store.close()
     small, large = (size // 1024 for size in sizes)
     return f"storage after {renewals // 10} and {renewals} renewals: {small} and {large} KiB"
@@ -278,7 +306,7 @@
 def run_benchmarks(
     renewals: int, rounds: int = 300, count: int = 200, seconds: float = 15.0
 ) -> Iterator[str]:
-    """Each figure as it is there."""
+    """Run all benchmarks, and yield each result as a line once it is measured."""
     yield measure_lock_file(rounds)
     for witnesses in (1, 3, 5):
         yield measure_lease_latency(witnesses, rounds)
--- a/rosepick/lab/drill/link_fault_injector.py
+++ b/rosepick/lab/drill/link_fault_injector.py
@@ -26,21 +26,21 @@
 
 @dataclass(frozen=True, slots=True)
 class _Link:
-    """A link of some process, and whether that process is the one that calls."""
+    """A link of a process, and whether that process is the caller."""
 
     forwarder: Forwarder
     is_caller: bool
 
 
 class LinkFaultInjector:
-    """Sets the faults of forwarders, and resets them when the time of each is over."""
+    """Sets the faults of forwarders, and resets each when its length in time is over."""
 
     def __init__(self, cluster: ProcessCluster) -> None:
         self._cluster = cluster
         self._loop = cluster.loop
 
     def handlers(self) -> dict[FaultName, FaultHandler]:
-        """Return the handlers of all faults of links."""
+        """Return the handlers of all link faults."""
         return {
             FaultName.CUT: self._cut,
             FaultName.CUT_ONE_WAY: self._cut_one_way,
@@ -58,13 +58,13 @@
         }
 
     def heal_all(self) -> None:
-        """End all faults of links."""
+        """End all link faults, and accept connections on all links."""
         for link in self._cluster.links.values():
             link.faults = LinkFaults()
             link.open()
 
-    def isolate_replicas(self, names: Iterable[str], length_s: float) -> None:
-        """Cut some replicas off from all clients; replicas still reach each other."""
+    def isolate_replicas(self, names: Iterable[str], duration_s: float) -> None:
+        """Cut replicas off from all clients for `duration_s` seconds; replicas still reach each other."""
         isolated = set(names)
         replicas = self._cluster.replicas
         links = [
@@ -72,10 +72,10 @@
             for (caller, replica), link in self._cluster.links.items()
             if replica in isolated and caller not in replicas
         ]
-        self._apply(links, length_s, drops_requests=True, drops_replies=True)
+        self._apply(links, duration_s, drops_requests=True, drops_replies=True)
 
     def _apply(
-        self, links: Iterable[Forwarder], length_s: float, **settings: Unpack[_LinkFaultSettings]
+        self, links: Iterable[Forwarder], duration_s: float, **settings: Unpack[_LinkFaultSettings]
     ) -> None:
         affected = list(links)
         for link in affected:
@@ -88,7 +88,7 @@
                 for field_name in settings:
                     setattr(link.faults, field_name, getattr(healthy, field_name))
 
-        self._loop.call_after(1000.0 * length_s, heal)
+        self._loop.call_after(1000.0 * duration_s, heal)
 
     def _links_between(self, first: str, second: str) -> Iterator[_Link]:
         """Yield the links between two processes, as seen from the first one."""
--- a/rosepick/lab/drill/mutations.py
+++ b/rosepick/lab/drill/mutations.py
@@ -1,7 +1,7 @@
-"""Mutation testing: each planted fault is put into a copy of the program, and a test has to find it.
+"""Runs mutation tests: each planted fault is put into a copy of the program, and a drill has to find it.
 
-An invariant that is never violated says little by itself. Here the lines that uphold it are taken out, and
-the same fault-injection test with the same checks has to report a violation.
+An invariant that is never violated does not show that its check works. A planted fault removes lines that
+uphold an invariant, and the same fault-injection test with the same checks has to report a violation then.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from .strict_model import StrictModel
 
 IGNORED_PATHS = ("journal", ".git", ".venv", ".venv-dev", "__pycache__", "experiments", "tests")
-SEEDS_PER_BATCH = 8  # played by one process
+SEEDS_PER_BATCH = 8  # run by one process
 MAX_ERROR_OUTPUT_CHARS = 400
 _VIOLATION_LINE = re.compile(r"^seed (\d+): \d+ claims broken$", re.M)
 _SUMMARY_LINE = re.compile(r"^\d+ seeds, ", re.M)
@@ -34,11 +34,11 @@
 
 
 class MutationsError(Exception):
-    """The file cannot be used, or does not fit the program; the text says where."""
+    """The file cannot be used or does not match the program, or a drill crashed; the text says where."""
 
 
 class SourceEdit(StrictModel):
-    """One edit: a text that a file contains exactly once, and its replacement."""
+    """One edit: a text that `file` contains exactly once, and its replacement."""
 
     file: str
     old: str
@@ -46,7 +46,7 @@
 
 
 class PlantedFault(StrictModel):
-    """A fault, the invariant that it `breaks`, and the test that shows it within so many seeds."""
+    """A fault, the invariant that it `breaks`, and the test that has to find it within `seeds` seeds."""
 
     name: str
     breaks: str
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MutationResult:
-    """The outcome for a planted fault: the seed that showed it, if any, and the violation as printed."""
+    """The outcome for a planted fault: the seed that found it, if any, and the violation as printed."""
 
     planted: PlantedFault
-    seeds: int  # how many were played
+    seeds: int  # number of seeds that were run
     seed: int | None
     claim: str
     seconds: float
@@ -85,7 +85,9 @@
         for edit in planted.edits:
             count = (ROOT / edit.file).read_text("utf-8").count(edit.old)
             if count != 1:
-                raise MutationsError(f"{planted.name}: the old text stands {count} times in {edit.file}")
+                raise MutationsError(
+                    f"{planted.name}: {edit.file} contains the old text {count} times instead of once"
+                )
     return faults
 
 
@@ -107,31 +109,31 @@
 
 
 def find_fault(planted: PlantedFault) -> MutationResult:
-    """Play seeds on a copy of the program with the fault, until one violates the invariant.
+    """Run seeds on a copy of the program with the fault, until one violates the invariant.
 
     Raises:
         MutationsError: the test itself ended without a summary.
     """
     started_at = time.monotonic()
     batch = 1 if planted.real else SEEDS_PER_BATCH
-    with tempfile.TemporaryDirectory(prefix="rosepick-planted-") as scratch:
-        folder = Path(scratch) / "copy"
+    with tempfile.TemporaryDirectory(prefix="rosepick-planted-") as temporary_folder:
+        folder = Path(temporary_folder) / "copy"
         _copy_program(planted, folder)
         for first in range(1, planted.seeds + 1, batch):
-            done = _run_drill(planted, folder, first, min(planted.seeds, first + batch - 1))
-            match = _VIOLATION_LINE.search(done.stdout)
-            violations = _INVARIANT_LINE.findall(done.stdout)
+            completed = _run_drill(planted, folder, first, min(planted.seeds, first + batch - 1))
+            match = _VIOLATION_LINE.search(completed.stdout)
+            violations = _INVARIANT_LINE.findall(completed.stdout)
             expected = next((line for line in violations if line.startswith(planted.breaks)), None)
             if match is not None and expected is not None:
                 seed = int(match[1])
                 return MutationResult(planted, seed, seed, expected, time.monotonic() - started_at)
-            if not _SUMMARY_LINE.search(done.stdout):  # it crashed, which does not mean that it found nothing
-                output = done.stderr[-MAX_ERROR_OUTPUT_CHARS:]
-                raise MutationsError(f"{planted.name}: the drill ended with {done.returncode}: {output}")
+            if not _SUMMARY_LINE.search(completed.stdout):  # the drill crashed, which is no result
+                output = completed.stderr[-MAX_ERROR_OUTPUT_CHARS:]
+                raise MutationsError(f"{planted.name}: the drill ended with {completed.returncode}: {output}")
     return MutationResult(planted, planted.seeds, None, "", time.monotonic() - started_at)
 
 
 def find_all_faults(faults: Sequence[PlantedFault], workers: int) -> Iterator[MutationResult]:
-    """Find all faults, `workers` at a time; results come in the order of the faults."""
+    """Find all faults, `workers` at a time; yield the results in the order of the faults."""
     with ThreadPoolExecutor(workers) as pool:
         yield from pool.map(find_fault, faults)
--- a/rosepick/lab/drill/process_cluster.py
+++ b/rosepick/lab/drill/process_cluster.py
@@ -1,4 +1,4 @@
-"""The processes of a fault-injection test, the links between them and the files that they read."""
+"""Sets up the processes of a fault-injection test, the links between them and the files that they read."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from .processes import FIRST_PORT, ManagedProcess, starter_command, unique_loopback_address
 
 STAND_INS_MODULE = "rosepick.lab.drill.stand_ins"
-BUFFER_BUDGET_BYTES = 1 << 20  # of all links
+BUFFER_BUDGET_BYTES = 1 << 20  # shared by all links
 LOOP_STEP_S = 0.02
 
 
 class ProcessCluster:
-    """Real processes in a folder of their own, with a forwarder on each link to a replica.
+    """Runs real processes in a folder of their own, with a forwarder on each link to a replica.
 
     `replicas` are the acceptors of the quorum and a spare one; `workers` and `runners` hold leases, the
     latter as processes of `rosepick lease run`.
@@ -44,7 +44,7 @@
         self.events: list[AnyEvent] = []
         settings = drill.processes
         self.replicas = [f"w{number}" for number in range(1, settings.witnesses + 2)]
-        self.spare = self.replicas[-1]  # it runs, and is no member of the quorum
+        self.spare = self.replicas[-1]  # runs without being a member of the quorum
         self.workers = [f"c{number}" for number in range(settings.workers)]
         self.runners = [f"r{number}" for number in range(settings.runners)]
         self.tasks = [f"t{number}" for number in range(settings.tasks)]
@@ -61,15 +61,15 @@
         self._add_lease_processes(f"{self.host}:{resource_port}")
 
     def _build_links(self, callers: list[str]) -> int:
-        """Build a link from each caller to each other replica; return the first port that is left."""
-        ends = [(caller, replica) for caller in callers for replica in self.replicas if caller != replica]
+        """Build a link from each caller to each other replica; return the first port that stays free."""
+        links = [(caller, replica) for caller in callers for replica in self.replicas if caller != replica]
         first_link_port = FIRST_PORT + len(self.replicas)
         self.ports = dict(zip(self.replicas, range(FIRST_PORT, first_link_port), strict=True))
-        for port, (caller, replica) in enumerate(ends, first_link_port):
+        for port, (caller, replica) in enumerate(links, first_link_port):
             rng = random.Random(self.rng.getrandbits(64))
             endpoints = LinkEndpoints(self.host, port, self.ports[replica])
             self.links[caller, replica] = Forwarder(self.loop, self.budget, endpoints, rng)
-        return first_link_port + len(ends)
+        return first_link_port + len(links)
 
     def _add_lease_processes(self, resource_address: str) -> None:
         for name in self.replicas:
@@ -90,7 +90,7 @@
         self._add_process("resource", STAND_INS_MODULE, resource)
 
     def _add_process(self, name: str, module: str, arguments: list[str]) -> None:
-        """Add a process whose clock is off by up to the skew of the test."""
+        """Add a process whose clock runs faster or slower by up to the rate of the drill file."""
         skew = self.drill.processes.rate
         clock_rate = 1.0 + self.rng.choice((-skew, skew, self.rng.uniform(-skew, skew)))
         self.processes[name] = ManagedProcess(name, self.folder, clock_rate, module, arguments)
@@ -123,24 +123,24 @@
             )
 
     def create_client(self, name: str, loop: EventLoop, rng: random.Random) -> InstrumentedQuorumClient:
-        """Create a client of the quorum that no fault hits."""
+        """Create a client of the quorum that connects to the replicas directly, without link faults."""
         endpoints = {replica: (self.host, port) for replica, port in self.ports.items()}
         connections = tcp_connections(loop, endpoints, b"")
         return InstrumentedQuorumClient(name, self.events.append, drill_clock, loop, connections, rng)
 
     def run_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
-        """Run the event loop until a condition holds; return whether it does at the end."""
-        end = drill_clock() + timeout_s
-        while not condition() and drill_clock() < end:
+        """Run the event loop until a condition holds or `timeout_s` is over; return whether it holds."""
+        deadline = drill_clock() + timeout_s
+        while not condition() and drill_clock() < deadline:
             self.loop.step(LOOP_STEP_S)
         return condition()
 
     def run_for(self, duration_s: float) -> None:
-        """Run the event loop for so long."""
+        """Run the event loop for `duration_s` seconds."""
         self.run_until(lambda: False, duration_s)
 
     def has_logged(self, name: str, event: str, offset: int = 0) -> bool:
-        """Return whether a process has logged an event after so many bytes of its log."""
+        """Return whether a process has logged an event after the first `offset` bytes of its log."""
         path = self.processes[name].log_path
         if not path.exists():
             return False
--- a/rosepick/lab/drill/processes.py
+++ b/rosepick/lab/drill/processes.py
@@ -1,4 +1,4 @@
-"""Real processes of a fault-injection test, each with its log and its clock, and the storages of replicas."""
+"""Manages real processes of a fault-injection test, their logs and clocks, and the storages of replicas."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def unique_loopback_address() -> str:
-    """Return a loopback address that no other test on this machine uses at this time.
+    """Return a loopback address that no other running test on this machine uses, by the id of this process.
 
-    All its ports are free, also from those that the system chooses for connections.
+    All its ports are free, even those in the range from which the system chooses ports of connections.
     """
     pid = os.getpid()
     return f"127.{64 + (pid >> 16 & 63)}.{pid >> 8 & 255}.{pid & 255}"
@@ -29,7 +29,7 @@
     """Return the command line and the environment of a process under `starter`.
 
     Args:
-        rate: the rate of its clock, 1.0 for a right one.
+        rate: the rate of its clock; 1.0 is the right one.
         module: the module that is run.
         arguments: the arguments of the module.
         recorded_name: the name under which its operations are recorded; empty or False if they are not.
@@ -45,10 +45,10 @@
 
 
 class ManagedProcess:
-    """A process that can be started again and again, with one log.
+    """Runs a process that can be restarted any number of times and appends to one log.
 
-    `exit_statuses` are those of starts that have ended; `stopped` tells that it is paused. With
-    `records_operations` the starter records its operations.
+    `exit_statuses` has an entry for each start that has ended. `stopped` means that the process is paused. If
+    `records_operations` is set, the starter records the operations of the process.
     """
 
     def __init__(self, name: str, folder: Path, rate: float, module: str, arguments: list[str]) -> None:
@@ -65,18 +65,18 @@
 
     @property
     def log_path(self) -> Path:
-        """The path of its log."""
+        """The path of the log."""
         return self.folder / f"{self.name}.log"
 
     @property
     def pid(self) -> int:
-        """The process id of the start that runs."""
+        """The id of the running process."""
         assert self._process is not None
         return self._process.pid
 
     @property
     def running(self) -> bool:
-        """Whether it runs; the exit status of one that has ended is recorded."""
+        """Whether the process runs; once it has ended, its exit status is recorded."""
         if self._process is None:
             return False
         if self._process.poll() is not None:
@@ -86,7 +86,7 @@
         return True
 
     def start(self) -> None:
-        """Start it, unless it runs."""
+        """Start the process, unless it runs."""
         if self.running:
             return
         command, environment = starter_command(
@@ -100,7 +100,7 @@
         self.stopped = False
 
     def kill(self) -> None:
-        """Send SIGKILL and wait until it has ended."""
+        """Send SIGKILL and wait until the process has ended."""
         if self.running:
             assert self._process is not None
             self._process.kill()
@@ -108,34 +108,34 @@
             self.running  # noqa: B018 -- reading it records the exit status
 
     def signal(self, number: int) -> None:
-        """Send a signal, if it runs."""
+        """Send a signal, if the process runs."""
         if self.running:
             assert self._process is not None
             self._process.send_signal(number)
 
     def pause(self) -> None:
-        """Pause it by SIGSTOP."""
+        """Pause the process by SIGSTOP."""
         self.signal(signal.SIGSTOP)
         self.stopped = True
 
     def resume(self) -> None:
-        """Resume it by SIGCONT."""
+        """Resume the process by SIGCONT."""
         self.signal(signal.SIGCONT)
         self.stopped = False
 
     def simulate_full_disk(self) -> None:
-        """Let none of its files grow from now on, as on a full disk."""
+        """Limit files to one byte (RLIMIT_FSIZE), so that writes of the process fail as on a full disk."""
         if self.running:
             assert self._process is not None
-            hard = resource.prlimit(self._process.pid, resource.RLIMIT_FSIZE)[1]
-            resource.prlimit(self._process.pid, resource.RLIMIT_FSIZE, (1, hard))
+            hard_limit = resource.prlimit(self._process.pid, resource.RLIMIT_FSIZE)[1]
+            resource.prlimit(self._process.pid, resource.RLIMIT_FSIZE, (1, hard_limit))
 
 
 STORAGE_FILES = ("witness.sqlite3", "witness.sqlite3-wal", "witness.sqlite3-shm")
 
 
 def copy_storage(folder: Path, to: Path) -> None:
-    """Copy the storage of a replica that does not run."""
+    """Copy the storage of a replica, which must not run, to the folder `to`."""
     shutil.rmtree(to, ignore_errors=True)
     to.mkdir()
     for name in STORAGE_FILES:
@@ -143,20 +143,20 @@
             shutil.copyfile(folder / name, to / name)
 
 
-def restore_storage(old: Path, folder: Path, in_place: bool) -> None:
+def restore_storage(backup: Path, folder: Path, in_place: bool) -> None:
     """Restore the storage of a replica from an older copy.
 
-    With `in_place` it is written into the same file, so that the inode does not show the change.
+    With `in_place` the database is written into the existing file, so that its inode stays the same.
     """
     for name in STORAGE_FILES:
         if not in_place or name != STORAGE_FILES[0]:
             (folder / name).unlink(missing_ok=True)
     for name in STORAGE_FILES[:2]:
-        if (old / name).exists():
+        if (backup / name).exists():
             if in_place or name != STORAGE_FILES[0]:
-                shutil.copyfile(old / name, folder / name)
-            else:  # under another name first, so that it is another file
-                shutil.copyfile(old / name, folder / "copy")
+                shutil.copyfile(backup / name, folder / name)
+            else:  # copied under another name and renamed, so that the inode differs
+                shutil.copyfile(backup / name, folder / "copy")
                 (folder / "copy").rename(folder / name)
 
 
--- a/rosepick/lab/drill/quorum_operator.py
+++ b/rosepick/lab/drill/quorum_operator.py
@@ -1,4 +1,4 @@
-"""The operator of a test on real processes: founds the quorum and replaces its members by commands."""
+"""Acts as the operator of a test on real processes: founds the quorum and replaces members by commands."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from .fault_plan import Fault, FaultName
 from .process_cluster import ProcessCluster
 
-START_TIMEOUT_S = 30.0  # until all replicas answer: a machine may be busy
+START_TIMEOUT_S = 30.0  # until a replica has started or a command has ended, on a busy machine
 REPLACEMENT_INTERVAL_MS = 400.0  # between two checks for replicas that have lost their storage
-COMMAND_POLL_INTERVAL_MS = 100.0
+COMMAND_POLL_INTERVAL_MS = 100.0  # between two checks whether a command has ended
 MAX_COMMAND_POLLS = 120
 
 
 class QuorumOperator:
-    """Runs one command on the quorum at a time."""
+    """Runs commands that change the quorum, one at a time, and forced releases of leases."""
 
     def __init__(self, cluster: ProcessCluster) -> None:
         self._cluster = cluster
         self._command: subprocess.Popen[bytes] | None = None
-        self._joining_replica: str | None = None  # the spare one, after another was removed
-        self._is_joining_command = False  # whether the last command is to bring it in
+        self._joining_replica: str | None = None  # the spare one, once another replica was removed
+        self._is_joining_command = False  # whether the last command adds the joining replica
 
     def handlers(self) -> dict[FaultName, FaultHandler]:
-        """Return the handlers of all faults that are commands of an operator."""
+        """Return the handlers of all faults that consist of an operator's command."""
         return {
             FaultName.SWAP_REPLICA: self._swap_replica,
             FaultName.FORCE_RELEASE: self._force_release,
@@ -53,14 +53,14 @@
         shutil.copy(cluster.folder / "all.toml", cluster.folder / "operator.toml")
 
     def is_changing_quorum(self) -> bool:
-        """Return whether a command runs, a replica is to join or a member has lost its storage."""
+        """Return whether a command runs, a replica has yet to join or a member has lost its storage."""
         members = [name for name in self._cluster.replicas if name != self._cluster.spare]
         return (
             self._is_busy() or self._joining_replica is not None or any(map(self._has_new_storage, members))
         )
 
     def replace_lost_replicas(self) -> None:
-        """Bring replicas with new storages into the quorum, one after the other; repeatedly."""
+        """Replace members that have new storages, one at a time, and schedule the next check."""
         cluster = self._cluster
         waiting = [name for name in cluster.replicas if name != cluster.spare and self._has_new_storage(name)]
         if self._joining_replica is not None:
@@ -85,7 +85,7 @@
         return self._command is not None and self._command.poll() is None
 
     def _has_new_storage(self, name: str) -> bool:
-        """Return whether a replica runs with a storage that was never in the quorum, by its log."""
+        """Return whether a replica runs with a new or an outdated storage, by its log."""
         process = self._cluster.processes[name]
         path = process.log_path
         lines = path.read_text("utf-8", "replace").splitlines() if path.exists() else []
@@ -99,7 +99,7 @@
         return False
 
     def _swap_replica(self, _number: int, fault: Fault) -> None:
-        """Remove a running replica from the quorum, and have the spare one join."""
+        """Remove a running replica from the quorum, and let the spare one join instead."""
         cluster = self._cluster
         removed = fault.target[0]
         if removed == cluster.spare:
--- a/rosepick/lab/drill/release_versions.py
+++ b/rosepick/lab/drill/release_versions.py
@@ -1,4 +1,4 @@
-"""Versions of the router in fault-injection tests of releases, and how rollouts of them are recorded."""
+"""Describes versions of the router in fault-injection tests of releases, and rollouts of them as events."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 INITIAL_VERSION = "old"
 GOOD_VERSION = "good"
-WAVES_TO_DETECT: dict[str, int] = {  # how many waves may run a version with this fault
+# by the kind of fault: how many waves may run a version before the fault is detected
+WAVES_TO_DETECT: dict[str, int] = {
     VersionFault.EXITS_AT_START: 1,
     VersionFault.NEVER_SERVES: 1,
     VersionFault.EXITS_SOON: 1,
@@ -22,22 +23,22 @@
 
 
 def artifact_named(version: str) -> Artifact:
-    """Return the artifact of a version; its name is its digest, too."""
+    """Return the artifact of a version, whose name serves as the digest, too."""
     return Artifact(version, version, f"/builds/{version}")
 
 
 def fault_kind_of(version: str) -> str:
-    """Return the kind of a version's fault, the value of a `VersionFault`, or another name if it has none."""
+    """Return the kind of a version's fault: a value of `VersionFault`, or another name if it has no fault."""
     return version.partition("-")[0]
 
 
 def has_fault(version: str) -> bool:
-    """Return whether a rollout of the version is to be rolled back."""
+    """Return whether a version has a fault, so that a rollout of it must be rolled back."""
     return fault_kind_of(version) in WAVES_TO_DETECT
 
 
 def max_members_exposed(fault_kind: str, router_count: int) -> int:
-    """Return how many routers may run a version with a fault: those of the waves that may run it."""
+    """Return how many routers may run a version with a fault: the routers of the waves that may run it."""
     first_two_waves = router_count // 2
     return (1, first_two_waves, router_count)[WAVES_TO_DETECT[fault_kind] - 1]
 
@@ -58,19 +59,21 @@
 
 
 def count_decisions(before: RolloutState | None, after: RolloutState) -> Counter[str]:
-    """Count what rollout leaders have decided between two reads of the record, by the kind of version."""
+    """Count the decisions of rollout leaders between two reads of the record, by the kind of version."""
     counts: Counter[str] = Counter()
-    old = None if before is None else before.open_rollout
-    new = after.open_rollout
-    if old is None:
+    old_rollout = None if before is None else before.open_rollout
+    new_rollout = after.open_rollout
+    if old_rollout is None:
         return counts
-    if new is not None and old.number == new.number:
-        was_turned = old.phase != RolloutPhase.ROLLBACK and new.phase == RolloutPhase.ROLLBACK
-        last = after.history[-1] if after.history else None
-        if was_turned and last is not None and last.actor != "operator":
-            counts[f"judged worse: {fault_kind_of(new.new.name)}"] += 1
+    if new_rollout is not None and old_rollout.number == new_rollout.number:
+        rollback_began = (
+            old_rollout.phase != RolloutPhase.ROLLBACK and new_rollout.phase == RolloutPhase.ROLLBACK
+        )
+        last_entry = after.history[-1] if after.history else None
+        if rollback_began and last_entry is not None and last_entry.actor != "operator":
+            counts[f"judged worse: {fault_kind_of(new_rollout.new.name)}"] += 1
         return counts
-    is_deployed = after.baseline.get(BUILD) == old.new
+    is_deployed = after.baseline.get(BUILD) == old_rollout.new
     outcome = "brought through" if is_deployed else "closed as taken back"
-    counts[f"{outcome}: {fault_kind_of(old.new.name)}"] += 1
+    counts[f"{outcome}: {fault_kind_of(old_rollout.new.name)}"] += 1
     return counts
--- a/rosepick/lab/drill/request_client.py
+++ b/rosepick/lab/drill/request_client.py
@@ -1,4 +1,4 @@
-"""A load generator of fault-injection tests: it sends reads to routers, each on a connection of its own."""
+"""Generates load in fault-injection tests: reads to routers, each on a connection of its own."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 KEY_COUNT = 200
 MAX_REQUESTS_PER_THREAD = 1_000_000
 CONNECT_TIMEOUT_S = 1.0
-RESPONSE_TIMEOUT_S = 1.7
+RESPONSE_TIMEOUT_S = 1.7  # half a second more than the deadline in the request
 MAX_RESPONSE_BYTES = 65536
 
-Address = tuple[str, int]  # host and port, as sockets take it
+Address = tuple[str, int]  # host and port, the form of the socket module
 
 
 class RequestResult(NamedTuple):
-    """The end of a request that a router was sent."""
+    """The result of a request that was sent to a router."""
 
     status: int  # of the response; 0 if there is none or it cannot be read
     sent_at: float
 
 
 class RequestClient:
-    """Sends requests to routers in random order until one accepts the connection, and records each result.
+    """Sends each request to the first router, in random order, that accepts the connection; records results.
 
     Args:
-        event_log: where results are recorded.
+        event_log: the log to which results are appended.
         routers: the addresses of all routers.
         requests_per_second: the mean rate of all threads together.
-        seed: seeds the random numbers, and is a part of the ids of requests.
+        seed: the seed of the random numbers, and the first part of the requests' ids.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._seed = seed
 
     def run(self) -> None:
-        """Send requests until the process is ended."""
+        """Send requests until the process is killed."""
         for number in range(THREAD_COUNT):
             threading.Thread(target=self._run_thread, args=(number,), daemon=True).start()
         while True:
--- a/rosepick/lab/drill/runner.py
+++ b/rosepick/lab/drill/runner.py
@@ -26,7 +26,7 @@
 from .invariants import InvariantReport
 from .simulation import SimulationConfig
 
-MAX_EVENTS_SHOWN = 12  # of a violation
+MAX_EVENTS_SHOWN = 12  # events printed for each violation
 SIMULATED_DRILLS = {
     "leases": simulated_leases.run_drill,
     "drains": simulated_drains.run_drill,
@@ -41,13 +41,13 @@
 
 @dataclass(slots=True)
 class SeedResult:
-    """The result of one seed: violations, counts, and lines that show them."""
+    """Holds the result of one seed: its violations, its counts and the printed lines about each violation."""
 
     seed: int
     violations: list[str] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
     lines: list[str] = field(default_factory=list)
-    failure_reason: str = ""  # why the test itself could not be run
+    failure_reason: str = ""  # why the test could not be run; empty if it was run
 
 
 def _simulation_config(drill: Drill) -> SimulationConfig:
@@ -77,7 +77,7 @@
 
 
 def run_simulated(drill: Drill, seed: int) -> SeedResult:
-    """Run one seed on simulated processes, without their logs."""
+    """Run one seed on simulated processes, with logging disabled."""
     disabled_before = logging.root.manager.disable
     logging.disable(logging.CRITICAL)
     try:
@@ -87,18 +87,18 @@
 
 
 def run_real(drill: Drill, seed: int, folder: Path, keep_folder: bool) -> SeedResult:
-    """Run one seed on real processes; its folder stays if there is a violation, or with `keep_folder`."""
+    """Run one seed on real processes; keep its folder after a violation, or if `keep_folder` is set."""
     try:
-        played = REAL_DRILLS[drill.plays](drill, seed, folder)
+        run = REAL_DRILLS[drill.plays](drill, seed, folder)
     except DrillRunError as error:
         return SeedResult(seed, failure_reason=str(error))
-    result = _to_seed_result(seed, played.verdict)
+    result = _to_seed_result(seed, run.report)
     times = sorted(
-        {event.at for violation in played.verdict.violations for event in violation.events[:MAX_EVENTS_SHOWN]}
+        {event.at for violation in run.report.violations for event in violation.events[:MAX_EVENTS_SHOWN]}
     )
     if times:
-        result.lines += [f"    {line}" for line in log_lines_around(played, times[:1] + times[-1:])]
-    (folder / "history.jsonl").write_bytes(b"".join(map(history.encode_line, played.events)))
+        result.lines += [f"    {line}" for line in log_lines_around(run, times[:1] + times[-1:])]
+    (folder / "history.jsonl").write_bytes(b"".join(map(history.encode_line, run.events)))
     (folder / "verdict.txt").write_text("\n".join(format_result(result)) + "\n", "utf-8")
     if not keep_folder and not result.violations:
         shutil.rmtree(folder, ignore_errors=True)
@@ -108,7 +108,7 @@
 def run_seeds(
     drill: Drill, seeds: Sequence[int], folder: Path | None, workers: int, keep_folder: bool
 ) -> Iterator[SeedResult]:
-    """Run seeds on `workers` processes and yield their results; without a folder, simulated."""
+    """Run seeds on `workers` processes and yield their results; the run is simulated if `folder` is None."""
     if workers == 1 or len(seeds) == 1:
         for seed in seeds:
             yield (
@@ -123,22 +123,22 @@
                 run_simulated, [drill] * len(seeds), seeds, chunksize=max(1, min(32, len(seeds) // workers))
             )
             return
-        runs = [pool.submit(run_real, drill, seed, folder / f"seed-{seed}", keep_folder) for seed in seeds]
-        for run in as_completed(runs):
-            yield run.result()
+        futures = [pool.submit(run_real, drill, seed, folder / f"seed-{seed}", keep_folder) for seed in seeds]
+        for future in as_completed(futures):
+            yield future.result()
 
 
 def format_result(result: SeedResult) -> list[str]:
     """Format the result of one seed as lines of text."""
     if result.failure_reason:
         return [f"seed {result.seed}: not played: {result.failure_reason}"]
-    verdict = f"{len(result.violations)} claims broken" if result.violations else "no claim broken"
-    return [f"seed {result.seed}: {verdict}", *result.lines]
+    outcome = f"{len(result.violations)} claims broken" if result.violations else "no claim broken"
+    return [f"seed {result.seed}: {outcome}", *result.lines]
 
 
 @dataclass(slots=True)
 class DrillSummary:
-    """The sum of the results of all seeds."""
+    """Adds up the results of all seeds; `broken` has the seeds with violations, `failed` those not run."""
 
     seeds: int = 0
     broken: list[int] = field(default_factory=list)
@@ -155,12 +155,12 @@
         self.counts.update(result.counts)
 
     def lines(self) -> list[str]:
-        """Format the sum as lines of text."""
+        """Format the summary as lines of text."""
         lines = [f"{self.seeds} seeds, {len(self.broken)} with a broken claim, {len(self.failed)} not played"]
         return lines + [f"  {name:28} {count}" for name, count in sorted(self.counts.items())]
 
     def json(self) -> bytes:
-        """Encode the sum as JSON."""
+        """Encode the summary as JSON."""
         return msgspec.json.format(
             msgspec.json.encode(
                 {
--- a/rosepick/lab/drill/stand_in_connection.py
+++ b/rosepick/lab/drill/stand_in_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a server of a fault-injection test: it reads HTTP requests and writes responses."""
+"""Defines connections to servers of a fault-injection test, which read HTTP requests and write responses."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StandInConnection(ABC):
-    """A connection that a client has opened. What it does with a request is up to the subclass."""
+    """Reads requests from a connection that a client has opened; subclasses handle them."""
 
     def __init__(self, loop: EventLoop, budget: ResourceBudget, sock: socket.socket) -> None:
         self._reader = RequestReader()
@@ -40,7 +40,7 @@
             self.stream.set_events(READ | (WRITE if self.stream.has_unwritten() else 0))
 
     def send_response(self, data: bytes, keep_alive: bool = True) -> None:
-        """Send a response; without `keep_alive`, end the sending direction if all of it was written."""
+        """Send a response; without `keep_alive`, shut down writing once all of the response was written."""
         if not self.stream.is_open:
             return
         try:
--- a/rosepick/lab/drill/stand_ins.py
+++ b/rosepick/lab/drill/stand_ins.py
@@ -1,13 +1,13 @@
-"""Processes that a fault-injection test runs beside those of the program.
+"""Runs the processes of a fault-injection test that are not part of the program.
 
     python -m rosepick.lab.drill.stand_ins worker NAME FLEET EVENTS RESOURCE TASK,TASK SEED
     python -m rosepick.lab.drill.stand_ins hand NAME EVENTS RESOURCE
     python -m rosepick.lab.drill.stand_ins client EVENTS ROUTER,ROUTER RATE SEED
     python -m rosepick.lab.drill.stand_ins resource EVENTS RESOURCE FOLDER
 
-A worker holds leases and acts on the resource; `hand` does so as the command of `rosepick lease run`; a
+A worker holds leases and acts on the resource; `hand` acts on it as a command under `rosepick lease run`; a
 client sends requests to routers; the resource is guarded by fencing tokens. Addresses are HOST:PORT. Each
-process appends what it does and sees to a file of events at once.
+process appends its actions and observations to a file of events without delay.
 """
 
 from __future__ import annotations
@@ -40,19 +40,18 @@
 from .request_client import RequestClient
 
 WORK_INTERVAL_S = 0.015  # between two steps of work
-# share of the steps that are sent long after the lease was checked, as if the process had been paused
+# share of the steps that are sent long after the check of the lease, as if the process was paused
 DELAYED_STEP_SHARE = 0.01
-NAMED_RELEASE_SHARE = 0.2  # of the releases name the client that the lease goes to
-CLIENT_NAME_COUNT = 8
-# how long a command under a lease runs
-MIN_COMMAND_S = 0.2
-MAX_COMMAND_S = 8.0
+NAMED_RELEASE_SHARE = 0.2  # share of the releases that name the next holder
+CLIENT_NAME_COUNT = 8  # names are drawn from c0 to c7
+MIN_COMMAND_S = 0.2  # shortest run of a command under a lease
+MAX_COMMAND_S = 8.0  # longest run of a command under a lease
 MAX_DATAGRAM_BYTES = 4096
-IN_DOUBT = "doubt"  # of the changes that a lease holder reports, the one that is no state
+IN_DOUBT = "doubt"  # the only change reported by a lease holder that is not a state of the lease
 
 
 class WorkStep(NamedTuple):
-    """An action on the resource under a lease: a datagram with an array of JSON."""
+    """An action on the resource under a lease, sent as a datagram with a JSON array."""
 
     client: str
     task: str
@@ -69,7 +68,7 @@
 
 
 class ResourceClient:
-    """Sends steps of work to the resource; a step may get lost."""
+    """Sends steps of work to the resource in datagrams, which may be lost."""
 
     def __init__(self, name: str, address: str) -> None:
         self._name = name
@@ -83,12 +82,12 @@
         try:
             self._socket.sendto(msgspec.json.encode(step), self._address)
         except OSError:
-            return  # the resource is down: nothing was done
+            return  # the resource is down, so the step has no effect
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerOptions:
-    """What the command line of a worker says."""
+    """The arguments of a worker on the command line."""
 
     name: str
     fleet_file: str
@@ -161,7 +160,7 @@
         self.loop.call_after(interval_ms, partial(self._work_step, task))
 
     def _send_step(self, send: Callable[[], None]) -> None:
-        """Send a step at once or, seldom, when the lease has ended."""
+        """Send a step at once or, rarely, after the lease has ended."""
         if self.rng.random() < DELAYED_STEP_SHARE:
             self.loop.call_after(self.lease_config.ttl_ms * self.rng.uniform(1.0, 2.5), send)
         else:
@@ -169,9 +168,10 @@
 
 
 def run_leased_command(name: str, event_file: str, resource_address: str) -> None:
-    """Act on the resource for some seconds, as a command of `rosepick lease run`.
+    """Act on the resource for some seconds, as a command under `rosepick lease run`.
 
-    The command knows the token of the lease. It relies on its parent to end it when the lease is lost.
+    The environment has the task and the token of the lease. The command does not check the lease; its parent
+    ends it when the lease is lost.
     """
     event_log = EventLog(event_file)
     resource = ResourceClient(name, resource_address)
@@ -179,8 +179,8 @@
     token = int(os.environ["ROSEPICK_TOKEN"])
     owner_id = os.getpid()
     rng = random.Random(owner_id)
-    end = drill_clock() + rng.uniform(MIN_COMMAND_S, MAX_COMMAND_S)
-    while drill_clock() < end:
+    end_at = drill_clock() + rng.uniform(MIN_COMMAND_S, MAX_COMMAND_S)
+    while drill_clock() < end_at:
         now = drill_clock()
         event_log.append(LeaseCheckPassed(name, now, now, task, token, owner_id))
         resource.send_step(task, token, owner_id)
@@ -188,13 +188,13 @@
 
 
 def run_request_client(event_file: str, router_addresses: str, rate: str, seed: str) -> None:
-    """Send requests to routers, so many a second, until the process is ended."""
+    """Send requests to routers, at `rate` requests a second, until the process is killed."""
     routers = [_parse_address(text) for text in router_addresses.split(",")]
     RequestClient(EventLog(event_file), routers, float(rate), seed).run()
 
 
 def run_guarded_resource(event_file: str, address: str, folder: str) -> None:
-    """Run the resource: its guard checks the fencing token of each step, and keeps the highest on a disk."""
+    """Run the resource: a guard checks the fencing token of each step and stores the highest on disk."""
     event_log = EventLog(event_file)
     guard = FencingGuard(SqliteFencingTokenStore(Path(folder)))
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -219,7 +219,7 @@
 
 
 def main() -> None:
-    """Run the process that the command line names; an unknown one does nothing."""
+    """Run the process that the command line names; an unknown name does nothing."""
     logs.configure_logging()
     kind, *arguments = sys.argv[1:]
     if kind == "worker":
--- a/rosepick/lab/drill/starter.py
+++ b/rosepick/lab/drill/starter.py
@@ -2,9 +2,9 @@
 
     python -m rosepick.lab.drill.starter RATE MODULE ARGUMENT...
 
-The clock that includes the time while a machine is suspended (CLOCK_BOOTTIME) runs at RATE from now on. So
-does `time.monotonic`, which stands still while the process is stopped, as it does while a machine is
-suspended. The program itself has no option for this.
+CLOCK_BOOTTIME, the clock that counts the time in which a machine is suspended, runs at RATE from the start of
+the process. So does `time.monotonic`, which in addition does not count the time in which the process is
+stopped, like CLOCK_MONOTONIC while a machine is suspended. The program itself has no option for this.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 import time
 from functools import partial
 
-# a longer time between two reads of the clock means that the process was stopped: the event loop of a process
-# in a test never waits so long
+# a longer time between two reads of the clock means that the process was stopped: in tests, event loops never
+# wait this long
 PAUSE_THRESHOLD_S = 0.25
 
 
@@ -50,7 +50,7 @@
 
 
 def _record_operations(client_name: str, event_file: str) -> None:
-    """Replace the quorum client of the program by one that records its operations in a file."""
+    """Replace the program's quorum client by one that records its operations in a file."""
     from ...coordination import quorum_client
     from .event_log import EventLog, drill_clock
     from .instrumented_client import InstrumentedQuorumClient
--- a/rosepick/lab/drill/versions.py
+++ b/rosepick/lab/drill/versions.py
@@ -1,8 +1,8 @@
-"""Builds of the router for fault-injection tests of releases: the program itself, most with a fault.
+"""Writes and runs builds of the router for fault-injection tests of releases, most of them with a fault.
 
 A build is a folder with a `member.py` that calls `main` with the kind of its fault. The program does not use
-this module: the faults are injected into the decision module and the process, as a bad change of the
-program would bring them.
+this module. The faults are injected into the decision module and the process, where a faulty change of the
+program would have them.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def write_build(folder: Path, fault_kind: str, mark: str) -> Path:
-    """Write a build; `mark` tells it from others with the same kind of fault."""
+    """Write a build; a comment with `mark` gives builds with the same kind of fault different digests."""
     folder.mkdir(parents=True)
     text = f"# {mark}\nfrom rosepick.lab.drill.versions import main\n\nmain({str(fault_kind)!r})\n"
     (folder / "member.py").write_text(text, "utf-8")
@@ -38,7 +38,7 @@
 
 
 def _intercept_requests(intercept: Callable[[api.RequestArrived], list[api.Action] | None]) -> None:
-    """Call a function for each request; the actions that it returns replace those of the router."""
+    """Call `intercept` for each request; if it returns actions, they replace those of the router."""
     original_handle: Any = Router.handle
 
     def handle(self: Router, now: float, event: api.Event) -> list[api.Action]:
@@ -56,8 +56,8 @@
 
 
 def _burn_cpu(_event: api.RequestArrived) -> None:
-    end = time.thread_time() + CPU_S_PER_REQUEST
-    while time.thread_time() < end:
+    end_at = time.thread_time() + CPU_S_PER_REQUEST
+    while time.thread_time() < end_at:
         pass
 
 
@@ -71,10 +71,10 @@
 
 
 def main(fault_kind: str) -> None:
-    """Run the router with a fault; an unknown kind of fault is none.
+    """Run the router with a fault; an unknown kind of fault means no fault.
 
     Raises:
-        SystemExit: at once, if the fault is that the process ends at its start.
+        SystemExit: the kind of fault is that the process ends at its start.
     """
     if fault_kind == VersionFault.EXITS_AT_START:
         raise SystemExit(1)
