--- a/rosepick/lab/model/__init__.py
+++ b/rosepick/lab/model/__init__.py
@@ -1,4 +1,4 @@
-"""A deterministic model of what routers serve: nodes, origin, discovery, network and clients.
+"""A deterministic model of a router's environment: nodes, origin, discovery, network and clients.
 
-It does no I/O and reads no clock: all time is simulated, in milliseconds.
+The model does no I/O and reads no clock: all time is simulated, in milliseconds.
 """
--- a/rosepick/lab/model/cache_store.py
+++ b/rosepick/lab/model/cache_store.py
@@ -1,4 +1,4 @@
-"""The memory of a cache node: values by key, limited in bytes, with LRU or FIFO eviction."""
+"""The store of a cache node: keys and sizes of values, limited in bytes, with LRU or FIFO eviction."""
 
 from __future__ import annotations
 
@@ -9,19 +9,25 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """A stored value."""
+    """The size and expiry time of a stored value."""
 
     size: int  # bytes
-    expires_at: float  # milliseconds
+    expires_at: float  # milliseconds of simulated time
 
 
 class CacheStore:
-    """A store with LRU or FIFO eviction and an optional time to live."""
+    """A store with LRU or FIFO eviction and an optional time to live.
+
+    Only keys and sizes are stored, as the model has no contents of values. Times are milliseconds.
+    """
 
     __slots__ = ("_entries", "_is_lru", "_ttl_ms", "capacity_bytes", "used_bytes")
 
     def __init__(self, capacity_bytes: int, eviction: str = "lru", ttl_ms: float = 0.0) -> None:
-        """Create an empty store; `ttl_ms` 0 means that values never expire."""
+        """Create an empty store.
+
+        `eviction` is `lru` or `fifo`; with a `ttl_ms` of 0 values never expire.
+        """
         self.capacity_bytes = capacity_bytes
         self.used_bytes = 0
         self._is_lru = eviction == "lru"
@@ -35,7 +41,7 @@
         return key in self._entries
 
     def get(self, key: int, now: float) -> bool:
-        """Return whether a key is stored, and count that as a use of it. An expired value is removed."""
+        """Return whether a key is stored, and mark it as used. An expired value is removed."""
         entry = self._entries.get(key)
         if entry is None:
             return False
@@ -47,12 +53,15 @@
         return True
 
     def holds(self, key: int, now: float) -> bool:
-        """Return whether a key is stored, without counting that as a use of it."""
+        """Return whether a key is stored, without marking it as used."""
         entry = self._entries.get(key)
         return entry is not None and now < entry.expires_at
 
     def put(self, key: int, size: int, now: float) -> None:
-        """Store a value and evict others as needed. A value larger than the whole store is not stored."""
+        """Store a value of `size` bytes, and evict others as needed.
+
+        A value larger than the whole store is not stored.
+        """
         self.invalidate(key)
         if size > self.capacity_bytes:
             return
--- a/rosepick/lab/model/client_behaviour.py
+++ b/rosepick/lab/model/client_behaviour.py
@@ -1,6 +1,6 @@
-"""How clients react to responses.
+"""Rules by which clients retry requests and classify their outcomes.
 
-Clients in simulated time and clients on sockets share it, so that runs of both kinds can be compared.
+Simulated clients and clients on sockets share these rules, so that runs of both kinds can be compared.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class TryOutcome(StrEnum):
-    """How one try of a request ended."""
+    """The outcome of one try of a request."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -21,7 +21,7 @@
 
 
 class ClientOutcome(StrEnum):
-    """How a request ended for its client, after all of its tries. The values are names in results."""
+    """The outcome of a request for its client, after all tries. The values are names in results."""
 
     IN_TIME = "in_time"
     LATE = "late"
@@ -34,7 +34,7 @@
     TryOutcome.REFUSED: ClientOutcome.REFUSED,
     TryOutcome.FAILED: ClientOutcome.FAILED,
 }
-"""How a request ends whose last try was not served."""
+"""Maps the outcome of the last try to that of the request, if the last try was not served."""
 
 
 def final_outcome(
@@ -44,9 +44,10 @@
     last_outcome: TryOutcome,
     elapsed_ms: float,
 ) -> ClientOutcome | None:
-    """Return how a request ends after its last try, or None if its client tries again.
+    """Return the outcome of a request after a try, or None if its client retries.
 
-    `elapsed_ms` is the time since the request was due.
+    `tries` counts the tries so far, `last_outcome` is the outcome of the last one, and `elapsed_ms` is the
+    time since the request was due, in milliseconds.
     """
     if last_outcome is TryOutcome.SERVED:
         in_time = elapsed_ms <= SECOND_MS * request_class.aim
@@ -58,9 +59,10 @@
 
 
 def retry_pause_ms(clients: ClientsConfig, retry_after_ms: float, now: float, draw: float) -> float:
-    """Return how long a client waits before it tries again, in milliseconds.
+    """Return the delay before a client retries, in milliseconds.
 
-    `retry_after_ms` is what the router asked for, 0 if nothing; `draw` is a random number from 0 to 1.
+    `retry_after_ms` is the delay that the router requested, 0 if it requested none; `now` is the time in
+    milliseconds; `draw` is a random number from 0 to 1.
     """
     if clients.manner == "at once":
         return 0.0
--- a/rosepick/lab/model/clients.py
+++ b/rosepick/lab/model/clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients: each sends its request when it is due, whatever the fleet's state, and may retry."""
+"""Simulated clients, which send each request when it is due, whatever the fleet's state, and may retry."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from .simulated_router import SimulatedRouter, payload_of
 from .workload import ScheduledRequest
 
-RECONNECT_DELAY_MS = 50.0  # until a client whose router is down connects again
+RECONNECT_DELAY_MS = 50.0  # delay until a client whose router is down connects again
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request with all its tries."""
+    """A client's request and the state of its tries."""
 
     request: ScheduledRequest
     request_class: RequestClassConfig
     tenant: str  # empty if the experiment has no tenants
-    attempts_made: int = 0
+    tries: int = 0  # started so far
     finished: bool = False
     router_request: RequestContext | None = None  # of the last try
     router: SimulatedRouter | None = None
@@ -37,12 +37,12 @@
 
     @property
     def deadline(self) -> float:
-        """When the client stops trying, in milliseconds."""
+        """The time at which the client stops trying, in milliseconds."""
         return self.request.due_ms + 1000.0 * self.request_class.deadline
 
 
 class Clients:
-    """All clients of a run. Each has one router and uses no other."""
+    """All clients of a run. Each client sends to one router only."""
 
     def __init__(
         self,
@@ -52,9 +52,9 @@
         measure: Measure,
         find_router: Callable[[int], SimulatedRouter | None],
     ) -> None:
-        """Create the clients.
+        """Create the clients of an experiment.
 
-        `find_router` returns a router by its index, or None while it is down.
+        `find_router` returns the router of an index, or None while that router is down.
         """
         self.kernel = kernel
         self.experiment = experiment
@@ -64,7 +64,7 @@
         self._pause_stream = UniformStream(seed, "pauses")
 
     def on_request_due(self, request: ScheduledRequest) -> None:
-        """Handle that a request is due."""
+        """Send a request that is due."""
         request_class = self.experiment.classes[request.klass]
         tenants = self.experiment.tenants
         tenant = tenants[request.tenant].name if tenants else ""
@@ -90,9 +90,9 @@
         if router is None:
             self.kernel.call_after(RECONNECT_DELAY_MS, lambda: self._send_try(client_request))
             return
-        client_request.attempts_made += 1
+        client_request.tries += 1
         client_try = ClientTry(
-            name=f"{request.number}.{client_request.attempts_made}",
+            name=f"{request.number}.{client_request.tries}",
             request_class=self.router_classes[request.klass],
             deadline=now + remaining_ms,
         )
@@ -101,7 +101,7 @@
             client_try,
             lambda outcome, retry_after_ms: self._on_try_ended(client_request, outcome, retry_after_ms),
         )
-        is_retry = client_request.attempts_made > 1 and self.experiment.clients.marked
+        is_retry = client_request.tries > 1 and self.experiment.clients.marked
         client_request.router = router
         client_request.router_request = router.accept(payload, client_request.request_class.write, is_retry)
 
@@ -114,31 +114,31 @@
         final = final_outcome(
             self.experiment.clients,
             client_request.request_class,
-            client_request.attempts_made,
+            client_request.tries,
             outcome,
             self.kernel.time - client_request.request.due_ms,
         )
         if final is not None:
             self._finish(client_request, final)
             return
-        # drawn whatever the clients' manner, so that later draws are the same for all manners
+        # drawn even if unused, so that later draws do not depend on the clients' `manner`
         draw = self._pause_stream()
         pause_ms = retry_pause_ms(self.experiment.clients, retry_after_ms, self.kernel.time, draw)
         self.kernel.call_after(pause_ms, lambda: self._send_try(client_request))
 
     def on_router_killed(self, payload: RequestPayload) -> None:
-        """Handle that the router of a try was killed and the client's connection broke."""
+        """End a try as failed, because its router was killed and the client's connection was lost."""
         payload.on_ended(TryOutcome.FAILED, 0.0)
 
     def _abandon(self, client_request: ClientRequest) -> None:
-        """Disconnect the client before its deadline."""
+        """Disconnect a client that abandons its request before the deadline."""
         if client_request.finished:
             return
         context = client_request.router_request
         router = client_request.router
         if context is not None and router is not None and router.alive and not context.is_finished:
             payload_of(context).client_try.client_gone = True
-            if context.ref:  # else the router has not read the request yet, and never will
+            if context.ref:  # 0 if the router has not read the request: it never will
                 router.engine.handle_disconnect(context)
         self._finish(client_request, ClientOutcome.LEFT)
 
--- a/rosepick/lab/model/discovery.py
+++ b/rosepick/lab/model/discovery.py
@@ -1,7 +1,8 @@
-"""The discovery service: it sends the endpoint list to routers, late and one call after another.
+"""The simulated discovery service, which sends endpoint list updates to routers.
 
-A change reaches it after a delay. A subscribed router gets each change in a call of its own; a router that
-subscribes gets what it missed. For the rules it records when each router knew that a node drains.
+Discovery learns of a change after a delay, and handles its calls one after another. A subscribed router gets
+each change in a call of its own; a router that subscribes gets the changes that it missed. For the checks of
+the rules, discovery records when each router was notified that a node drains.
 """
 
 from __future__ import annotations
@@ -17,56 +18,60 @@
 from .kernel import Kernel
 from .random_streams import UniformStream
 
-MembersListener = Callable[[api.EndpointUpdate], None]
+UpdateCallback = Callable[[api.EndpointUpdate], None]
 
 
 @dataclass(slots=True, eq=False)
 class DiscoverySubscriber:
-    """One router as discovery sees it. Times are milliseconds."""
+    """A router that is registered with discovery. Times are milliseconds."""
 
-    notify: MembersListener
+    notify: UpdateCallback
     zone: int
     subscribed: bool = False
     revision: int = 0
     last_delivery_at: float = 0.0
-    # since when the router knows that a node drains or is gone, by the node's number
+    # by node number: when the router was notified that the node drains or is removed
     drain_known_since: dict[int, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A change of the endpoint list."""
+    """A change of one endpoint, with the list's revision after it."""
 
     revision: int
     member: Endpoint
 
 
 class SimulatedDiscovery:
-    """The discovery service of all routers."""
+    """The discovery service that all routers share."""
 
     def __init__(
         self, kernel: Kernel, config: DiscoveryConfig, seed: int, latency: Callable[[int], float]
     ) -> None:
-        """Create an empty list; `latency` draws the milliseconds of one message to a zone."""
+        """Create a service with an empty list.
+
+        `latency` draws the latency of one message to a zone, in milliseconds.
+        """
         self.kernel = kernel
         self.config = config
         self.latency = latency
         self.up = True
-        self.extra_delay_ms = 0.0  # by a fault
+        self.extra_delay_ms = 0.0  # added by faults
         self.revision = 1
         self.subscribers: list[DiscoverySubscriber] = []
         self._delay_stream = UniformStream(seed, "discovery")
-        self._members: dict[int, Endpoint] = {}  # as discovery knows them
-        self._stale_members: dict[int, Endpoint] = {}  # as routers knew them before the run
+        self._members: dict[int, Endpoint] = {}  # the list of discovery
+        self._stale_members: dict[int, Endpoint] = {}  # the list that routers cached before the run
         self._changes: list[MemberChange] = []
         self._busy_until = 0.0
-        self.rejected_calls = 0  # subscriptions that would have waited too long
+        self.rejected_calls = 0  # subscriptions that failed because of `patience_ms`
         self._last_visible_at = 0.0
 
     def load_members(self, members: list[Endpoint]) -> None:
         """Set the list at the start of the run.
 
-        Routers start with a list that is older by `DiscoveryConfig.stale_by`: without younger nodes.
+        Routers start with a list that is older by `DiscoveryConfig.stale_by` seconds, which lacks the nodes
+        that started later.
         """
         self._members = {member.endpoint_id: member for member in members}
         stale_since = self.kernel.time - 1000.0 * self.config.stale_by
@@ -77,13 +82,16 @@
         }
 
     def initial_members(self, subscriber: DiscoverySubscriber) -> api.EndpointUpdate:
-        """Return the list that a starting router has cached, and set the revision that it knows."""
+        """Return the list that a starting router has cached, and set the subscriber's revision to match."""
         cached = self._stale_members if self.kernel.time <= 0 else self._members
         subscriber.revision = self.revision if cached.keys() == self._members.keys() else 0
         return api.EndpointUpdate(UpdateScope.CACHED, tuple(cached.values()), subscriber.revision)
 
     def report_change(self, member: Endpoint) -> None:
-        """Handle that a node starts, drains or ends. Discovery knows it later, in the order of events."""
+        """Report that a node started, drains or ended.
+
+        Discovery learns of it after a delay, and of all changes in the order in which they were reported.
+        """
         spread = self.config.delay_spread * (2.0 * self._delay_stream() - 1.0)
         delay = 1000.0 * self.config.delay * (1.0 + spread) + self.extra_delay_ms
         visible_at = max(self.kernel.time + delay, self._last_visible_at)
@@ -104,19 +112,19 @@
 
     # -------------------------------------------------------------------------------------------- calls
 
-    def subscribe(self, notify: MembersListener, zone: int) -> DiscoverySubscriber:
-        """Register a router, which gets updates by `notify` once it watches."""
+    def subscribe(self, notify: UpdateCallback, zone: int) -> DiscoverySubscriber:
+        """Register a router of a zone; once it is subscribed, `notify` is called with each update."""
         subscriber = DiscoverySubscriber(notify, zone, revision=self.revision)
         self.subscribers.append(subscriber)
         return subscriber
 
     def unsubscribe(self, subscriber: DiscoverySubscriber) -> None:
-        """Remove a router."""
+        """Remove a router from the subscribers."""
         subscriber.subscribed = False
         self.subscribers.remove(subscriber)
 
     def set_subscribed(self, subscriber: DiscoverySubscriber, subscribed: bool) -> None:
-        """Start or stop to send updates to a router."""
+        """Start or stop sending updates to a router."""
         if subscribed and not subscriber.subscribed:
             if not self.up:
                 self.kernel.call_after(
@@ -129,7 +137,11 @@
             subscriber.subscribed = False
 
     def _schedule_call(self, subscriber: DiscoverySubscriber, is_initial: bool) -> None:
-        """Schedule a call. Calls are handled one after another, and each endpoint in it takes time."""
+        """Schedule a call to a router.
+
+        Calls are handled one after another, and each endpoint in a call takes time. An initial call fails if
+        it would wait longer than `DiscoveryConfig.patience_ms`.
+        """
         now = self.kernel.time
         if is_initial and self.config.patience_ms and self._busy_until - now > self.config.patience_ms:
             self.rejected_calls += 1
@@ -140,7 +152,7 @@
         self.kernel.call_at(self._busy_until, lambda: self._answer_call(subscriber, is_initial))
 
     def _answer_call(self, subscriber: DiscoverySubscriber, is_initial: bool) -> None:
-        """Send a router what is new to it; an initial call is answered even if nothing is."""
+        """Send a router the changes since its revision; only an initial call may be without changes."""
         if not (subscriber.subscribed and self.up) or (
             subscriber.revision == self.revision and not is_initial
         ):
@@ -149,7 +161,7 @@
         self._deliver(subscriber, api.EndpointUpdate(scope, self._pending_changes(subscriber), self.revision))
 
     def _pending_changes(self, subscriber: DiscoverySubscriber) -> tuple[Endpoint, ...]:
-        """Return what a router does not know yet: the whole list, or the changes since its revision."""
+        """Return the changes since a router's revision, or the whole list if it has no revision."""
         if not subscriber.revision:
             return tuple(self._members.values())
         newer = takewhile(lambda change: change.revision > subscriber.revision, reversed(self._changes))
@@ -162,7 +174,7 @@
                 subscriber.drain_known_since.pop(member.endpoint_id, None)
             else:
                 subscriber.drain_known_since.setdefault(member.endpoint_id, self.kernel.time)
-        # there is one connection, on which messages do not overtake each other
+        # the router has one connection, on which messages arrive in order
         subscriber.last_delivery_at = max(
             subscriber.last_delivery_at, self.kernel.time + self.latency(subscriber.zone)
         )
--- a/rosepick/lab/model/fault_schedule.py
+++ b/rosepick/lab/model/fault_schedule.py
@@ -1,4 +1,4 @@
-"""Injects an experiment's faults at their times, and records what each one affected."""
+"""Injects the faults of an experiment at their times, and records what each fault affects."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from .patch_campaign import PatchCampaign
 from .simulation import Simulation
 
-MAX_NAMES = 8  # that a description lists
+MAX_LISTED_NAMES = 8  # names that a description lists
 
 RevertFault = Callable[[], None]
 
 
 @dataclass(frozen=True, slots=True)
 class InjectedFault:
-    """A fault that is active."""
+    """An active fault and the function that reverts it."""
 
-    description: str  # of what it affects
+    description: str  # what the fault affects
     revert: RevertFault
 
 
@@ -35,10 +35,10 @@
 ) -> None:
     """Schedule all faults of a simulation's experiment.
 
-    `extra_injectors` are for kinds that only this simulation can inject, by kind.
+    `extra_injectors` holds, by kind, injectors for faults that only this simulation supports.
 
     Raises:
-        ExperimentError: a fault can be injected on sockets only.
+        ExperimentError: a fault has a kind that can be injected on sockets only.
     """
     injectors = {**_INJECTORS, **extra_injectors}
     faults = simulation.experiment.troubles
@@ -64,7 +64,7 @@
 
 
 def no_revert() -> None:
-    """Do nothing: the fault cannot be reverted, or ends by itself."""
+    """Do nothing, for faults that cannot be reverted or that end by themselves."""
 
 
 def choose_cache_nodes(simulation: Simulation, fault: FaultConfig) -> list[SimulatedCacheNode]:
@@ -73,20 +73,20 @@
 
 
 def choose_nodes_or_all(simulation: Simulation, fault: FaultConfig) -> list[SimulatedNode]:
-    """Draw the cache nodes that a fault affects; if it names none, return all nodes and the origin."""
+    """Draw the cache nodes that a fault affects; all of them and the origin if it restricts none."""
     if fault.nodes is not None or fault.part is not None or fault.zone:
         return list(choose_cache_nodes(simulation, fault))
     return [*simulation.cache_nodes(), simulation.origin]
 
 
 def format_node_names(nodes: Sequence[SimulatedNode]) -> str:
-    """Format the names of some nodes for a description."""
+    """Format the names of nodes for a description."""
     return _format_names([node.uid for node in nodes])
 
 
 def _format_names(names: Sequence[str]) -> str:
-    more = f" and {len(names) - MAX_NAMES} more" if len(names) > MAX_NAMES else ""
-    return ", ".join(names[:MAX_NAMES]) + more
+    more = f" and {len(names) - MAX_LISTED_NAMES} more" if len(names) > MAX_LISTED_NAMES else ""
+    return ", ".join(names[:MAX_LISTED_NAMES]) + more
 
 
 def _inject_into_each(
@@ -109,7 +109,7 @@
 def _inject_one_by_one(
     simulation: Simulation, fault: FaultConfig, inject: Callable[[SimulatedCacheNode], None]
 ) -> InjectedFault:
-    """Inject a fault into one node after another, spread evenly over the fault's time."""
+    """Inject a fault into one node after another, evenly spread over the fault's duration."""
     nodes = choose_cache_nodes(simulation, fault)
     step_ms = 1000.0 * fault.last / max(1, len(nodes))
     for index, node in enumerate(nodes):
@@ -155,14 +155,14 @@
 
 
 def _inject_grow(simulation: Simulation, fault: FaultConfig) -> InjectedFault:
-    models = simulation.cache_nodes(fault.zone)
+    templates = simulation.cache_nodes(fault.zone)
     count = 0
-    if models:
-        count = fault.nodes or max(1, round((fault.part or 0.0) * len(models)))
+    if templates:
+        count = fault.nodes or max(1, round((fault.part or 0.0) * len(templates)))
     added: list[SimulatedNode] = []
     for index in range(count):
-        model = models[index % len(models)]
-        added.append(simulation.add_node(model.group, model.zone, simulation.kernel.time))
+        template = templates[index % len(templates)]
+        added.append(simulation.add_node(template.group, template.zone, simulation.kernel.time))
     return InjectedFault(format_node_names(added), no_revert)
 
 
@@ -265,7 +265,10 @@
 def _kill_routers(
     simulation: Simulation, fault: FaultConfig, down_ms: float | None, tenth_ms: float
 ) -> InjectedFault:
-    """Kill some routers, a tenth of them at a time, `tenth_ms` milliseconds apart."""
+    """Kill the routers that a fault affects, a tenth of them at a time, `tenth_ms` milliseconds apart.
+
+    `down_ms` is the time until a killed router starts again, or None if it never does.
+    """
     router_count = len(simulation.routers)
     count = fault.routers or (1 if fault.part is None else round(fault.part * router_count))
     indexes = range(min(count, router_count))
--- a/rosepick/lab/model/kernel.py
+++ b/rosepick/lab/model/kernel.py
@@ -1,8 +1,8 @@
 """The event queue of simulated time.
 
 Events run in the order of their times, and events of the same time in the order in which they were scheduled.
-It is not simpy's: routers schedule and cancel many callbacks at absolute times, some of which run before
-others of the same time, as they do on the real event loop (`docs/lab.md` compares the costs).
+The model does not use simpy, because routers schedule and cancel many callbacks at absolute times, some of
+which run before others of the same time, as on the real event loop (`docs/lab.md` compares the costs).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ScheduledEvent:
-    """A scheduled callback."""
+    """A scheduled callback, which can be cancelled."""
 
     __slots__ = ("call",)
 
@@ -22,7 +22,7 @@
         self.call: Callback | None = call
 
     def cancel(self) -> None:
-        """Keep the callback from being called."""
+        """Prevent the call of the callback."""
         self.call = None
 
 
@@ -40,9 +40,9 @@
         return self.time
 
     def call_at(self, at_ms: float, callback: Callback, run_first: bool = False) -> ScheduledEvent:
-        """Schedule a callback, at once if the time has passed.
+        """Schedule a callback at a time in milliseconds, or as soon as possible if the time has passed.
 
-        With `run_first` it runs before the other events of the same time.
+        With `run_first` the callback runs before the other events of the same time.
         """
         event = ScheduledEvent(callback)
         self._sequence_number += 1
--- a/rosepick/lab/model/machine.py
+++ b/rosepick/lab/model/machine.py
@@ -1,8 +1,8 @@
-"""A machine that does work: cores that requests share, slots, a queue, a cold start and overload.
+"""A simulated machine: shared cores, slots, a queue, a warm-up after a cold start, and overload.
 
-Requests in slots share the cores evenly (processor sharing): with as many slots as cores each has one of its
-own. The others queue in the order of their arrival. Finish times are kept in virtual time, so that an arrival
-or an end costs the logarithm of the number of running items.
+Items in slots share the cores evenly (processor sharing); with no more slots than cores, each item has a core
+of its own. The other items queue in the order of their arrival. Finish times are kept in virtual time, so
+that an arrival or a completion costs the logarithm of the number of running items.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from .kernel import Kernel, ScheduledEvent
 
 WorkCallback = Callable[[], None]
-WARM_UP_STEP_MS = 50.0  # how often the speed of a cold machine is updated
-VIRTUAL_TIME_TOLERANCE = 1e-9  # items that finish within it are finished
+WARM_UP_STEP_MS = 50.0  # interval at which the speed of a cold machine is updated
+VIRTUAL_TIME_TOLERANCE = 1e-9  # an item with this much virtual time left counts as finished
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,28 +27,28 @@
 
     cores: int = 2
     speed: float = 1.0
-    slots: int = 16  # items that run at one time
+    slots: int = 16  # items that run at the same time
     queue: int = 32  # items that wait for a slot
-    contention: float = 0.0  # how much longer all work takes for each running item beyond the cores
-    cold_capacity_share: float = 1.0  # of its capacity, at the start
-    warm_up_ms: float = 0.0  # time, or core-milliseconds of work, until the machine is warm
-    warm_by_work: bool = False
-    overload_multiple: float = inf  # work in a window, over capacity, at which a cold machine crashes
-    overload_window_ms: float = 3_000.0
+    contention: float = 0.0  # share by which each running item beyond the cores slows all work
+    cold_capacity_share: float = 1.0  # share of the capacity that a cold machine starts with
+    warm_up_ms: float = 0.0  # time until the machine is warm
+    warm_by_work: bool = False  # `warm_up_ms` is in core-milliseconds of work instead of time
+    overload_multiple: float = inf  # multiple of the capacity in a window at which a cold machine crashes
+    overload_window_ms: float = 3_000.0  # window over which the work sent to a cold machine is summed
     stops_cancelled_work: bool = True
-    overrun_after_ms: float = 0.0  # how long the queue may be full before the machine crashes; 0: for ever
+    full_queue_limit_ms: float = 0.0  # time with a full queue after which the machine crashes; 0: never
 
 
 class WorkState(Enum):
-    """Where a piece of work is."""
+    """The state of a work item."""
 
     WAITING = "waiting"
     RUNNING = "running"
-    FINISHED = "finished"  # done, cancelled or lost
+    FINISHED = "finished"  # completed, cancelled or lost
 
 
 class WorkItem:
-    """One piece of work."""
+    """A unit of work on a machine; `done` is called when it completes."""
 
     __slots__ = ("done", "state", "virtual_finish", "work")
 
@@ -60,16 +60,16 @@
 
 
 class Machine:
-    """One machine. `on_overload` is called when it crashes by overload, and all of its work is lost."""
+    """A machine; `on_overload` is called after a crash by overload, in which all work is lost."""
 
     def __init__(self, kernel: Kernel, config: MachineConfig, started_at: float = -inf) -> None:
         self.kernel = kernel
         self.config = config
         self.started_at = started_at
         self.up = True
-        self.slowdown = 1.0  # the factor by which faults slow it down
+        self.slowdown = 1.0  # factor by which faults slow the machine down
         self.on_overload: Callable[[], None] = lambda: None
-        self.busy_ms = 0.0  # core-milliseconds in use, up to the last update
+        self.busy_ms = 0.0  # core-milliseconds used up to the last update
         self.work_since_start_ms = 0.0  # core-milliseconds
         self._waiting: deque[WorkItem] = deque()
         self._running: list[tuple[float, int, WorkItem]] = []  # a heap by virtual finish time
@@ -78,14 +78,14 @@
         self._virtual_time = 0.0
         self._updated_at = kernel.now()
         self._next_event: ScheduledEvent | None = None
-        self._cold_window: deque[tuple[float, float]] = deque()  # while cold: time and work of each arrival
+        self._cold_window: deque[tuple[float, float]] = deque()  # time and work of each arrival while cold
         self._cold_window_work = 0.0
         self._full_since: float | None = None
 
     # ------------------------------------------------------------------------------------------ speed
 
-    def warmth(self, now: float) -> float:
-        """Return the share of its capacity that the machine has reached, 0 to 1."""
+    def capacity_share(self, now: float) -> float:
+        """Return the share of the full capacity that is available, 0 to 1; less than 1 during warm-up."""
         config = self.config
         if config.warm_up_ms <= 0 or config.cold_capacity_share >= 1:
             return 1.0
@@ -97,15 +97,15 @@
         )
 
     def capacity(self, now: float) -> float:
-        """Return the work that the machine can do in a millisecond."""
-        return self.config.cores * self.config.speed * self.warmth(now) / self.slowdown
+        """Return the work, in milliseconds on a core of speed 1, that the machine can do per millisecond."""
+        return self.config.cores * self.config.speed * self.capacity_share(now) / self.slowdown
 
     def item_count(self) -> int:
         """Return the number of items that run or wait."""
         return self._running_count + len(self._waiting)
 
     def expected_ms(self, work: float, now: float) -> float:
-        """Estimate the milliseconds that an item would take if it came now; inf if it would be rejected."""
+        """Estimate the milliseconds that a new item would take; inf if it would be rejected."""
         if not self.up or self._is_full():
             return inf
         ahead = self.item_count()
@@ -113,11 +113,11 @@
         return (work / rate) * max(1.0, (ahead + 1) / self.config.slots)
 
     def _rate(self, running: int, now: float) -> float:
-        """Return the work that each of so many running items gets done in a millisecond."""
+        """Return the rate of each item, in work per millisecond, with `running` items in slots."""
         config = self.config
         excess = max(0, running - config.cores)
         full_rate = config.speed * min(1.0, config.cores / running) / (1.0 + config.contention * excess)
-        return full_rate * self.warmth(now) / self.slowdown
+        return full_rate * self.capacity_share(now) / self.slowdown
 
     # ------------------------------------------------------------------------------------------ work
 
@@ -125,7 +125,10 @@
         return self._running_count >= self.config.slots and len(self._waiting) >= self.config.queue
 
     def submit(self, work: float, done: WorkCallback) -> WorkItem | None:
-        """Submit work. Return None if it is rejected, or if the machine is down or crashes by it."""
+        """Submit work; `done` is called when it completes.
+
+        Return None if the queue is full, the machine is down, or this work makes it crash by overload.
+        """
         now = self.kernel.time
         if not self.up:
             return None
@@ -156,7 +159,7 @@
         elif item.state is WorkState.RUNNING and self.config.stops_cancelled_work:
             now = self.kernel.time
             self._advance_to(now)
-            item.state = WorkState.FINISHED  # its entry in the heap is skipped later
+            item.state = WorkState.FINISHED  # its heap entry is removed later
             self._running_count -= 1
             self._start_waiting()
             self._schedule_next_event(now)
@@ -173,11 +176,11 @@
             self._start_item(self._waiting.popleft())
 
     def _advance_to(self, now: float) -> None:
-        """Account for the work that was done up to now."""
+        """Account for the work that was done since the last update."""
         if self._running_count:
             span = now - self._updated_at
             used = span * min(self._running_count, self.config.cores)
-            # the speed at the middle of the step is exact where the speed grows linearly
+            # the speed in the middle of the step is exact if the speed grows linearly
             if self.config.warm_by_work:
                 self.work_since_start_ms += used / 2
             self._virtual_time += span * self._rate(self._running_count, self._updated_at + span / 2)
@@ -187,7 +190,7 @@
         self._updated_at = now
 
     def _schedule_next_event(self, now: float) -> None:
-        """Schedule the next finish, or the next update of a speed that changes."""
+        """Schedule the next completion, or the next update of the speed while the machine warms up."""
         if self._next_event is not None:
             self._next_event.cancel()
             self._next_event = None
@@ -197,7 +200,7 @@
             return
         remaining = max(0.0, self._running[0][0] - self._virtual_time)
         delay = remaining / self._rate(self._running_count, now)
-        steady = self.warmth(now) >= 1.0
+        steady = self.capacity_share(now) >= 1.0
         if not steady:
             delay = min(delay, WARM_UP_STEP_MS)
         self._next_event = self.kernel.call_at(now + delay, lambda: self._on_event(steady))
@@ -206,7 +209,7 @@
         now = self.kernel.time
         self._next_event = None
         self._advance_to(now)
-        if has_finished_item:  # the clock may be too coarse for the rest of the work
+        if has_finished_item:  # rounding of the clock may leave a rest of the work
             self._virtual_time = max(self._virtual_time, self._running[0][0])
         finished = []
         while self._running and self._running[0][0] <= self._virtual_time + VIRTUAL_TIME_TOLERANCE:
@@ -221,24 +224,24 @@
             item.done()
 
     def update_busy(self) -> None:
-        """Bring `busy_ms` up to now."""
+        """Update `busy_ms` to the present time."""
         self._advance_to(self.kernel.time)
 
     # --------------------------------------------------------------------------------------- faults
 
-    def set_slowdown(self, slow: float) -> None:
-        """Slow the machine down by a factor from now on; 1 is full speed."""
+    def set_slowdown(self, factor: float) -> None:
+        """Slow the machine down by a factor; 1 is full speed."""
         now = self.kernel.time
         self._advance_to(now)
-        self.slowdown = slow
+        self.slowdown = factor
         self._schedule_next_event(now)
 
     def is_cold(self, now: float) -> bool:
-        """Return whether the machine is not warm yet."""
-        return self.warmth(now) < 1.0
+        """Return whether the machine is still warming up."""
+        return self.capacity_share(now) < 1.0
 
     def cold_budget_ms(self, now: float) -> float:
-        """Return the work that a cold machine may still get in this window; inf if it is warm."""
+        """Return the work that a cold machine can accept in this window without a crash; inf if warm."""
         if not self.is_cold(now) or self.config.overload_multiple == inf:
             return inf
         self._trim_cold_window(now)
@@ -260,19 +263,19 @@
             self._cold_window_work -= self._cold_window.popleft()[1]
 
     def _on_queue_full(self, now: float) -> None:
-        """Crash if the queue has been full for too long."""
+        """Crash if the queue has been full for `MachineConfig.full_queue_limit_ms`."""
         if self._full_since is None:
             self._full_since = now
-        elif self.config.overrun_after_ms and now - self._full_since >= self.config.overrun_after_ms:
+        elif self.config.full_queue_limit_ms and now - self._full_since >= self.config.full_queue_limit_ms:
             self.overload()
 
     def overload(self) -> None:
-        """Crash by overload: all work is lost."""
+        """Crash by overload, with the loss of all work."""
         self.stop()
         self.on_overload()
 
     def stop(self) -> None:
-        """Take the machine down, with the loss of all work."""
+        """Stop the machine, with the loss of all work."""
         self._advance_to(self.kernel.time)
         self.up = False
         for item in (*self._waiting, *(item for _, _, item in self._running)):
--- a/rosepick/lab/model/network.py
+++ b/rosepick/lab/model/network.py
@@ -1,4 +1,4 @@
-"""Message latencies between zones, broken connections and network partitions."""
+"""Simulates message latencies between zones, lost connections and network partitions."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class SimulatedNetwork:
-    """The network between zones, which are numbered."""
+    """The network between zones, which are given by their numbers."""
 
     def __init__(self, config: NetworkConfig, seed: int) -> None:
         self.config = config
@@ -21,11 +21,11 @@
         return base_ms * (1.0 + self.config.jitter * (2.0 * self._jitter_stream() - 1.0))
 
     def draw_break(self) -> bool:
-        """Draw whether an attempt loses its connection after it was sent."""
+        """Draw whether an attempt that was sent loses its connection."""
         return self.config.breaks > 0 and self._break_stream() < self.config.breaks
 
     def set_cut(self, first_zone: int, second_zone: int, active: bool) -> None:
-        """Add or remove a partition between two zones. Partitions may overlap, and are counted."""
+        """Add or remove a partition between two zones; overlapping partitions are counted."""
         pair = frozenset((first_zone, second_zone))
         count = self._cut_counts.get(pair, 0) + (1 if active else -1)
         if count > 0:
--- a/rosepick/lab/model/nodes.py
+++ b/rosepick/lab/model/nodes.py
@@ -1,4 +1,4 @@
-"""Cache nodes and the origin: a machine each, with its store, its connections and its faults."""
+"""Simulated cache nodes and the origin, each with a machine, connections and faults."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from .machine import Machine, MachineConfig, WorkItem
 from .random_streams import UniformStream
 
-CACHE_HIT = 1  # the cache status of a reply to a read; 0 if it has none
-CACHE_MISS = 2
-CACHE_KIND = 0  # the kind of an endpoint
-ORIGIN_KIND = 1
-ORIGIN_STARTED_AT = -1e12  # milliseconds: long before any run
-RESET_DELAY_MS = 1.0  # until a node resets the connection of an attempt that meets a fault
+CACHE_HIT = 1  # cache status of a reply to a read; 0 means none
+CACHE_MISS = 2  # cache status of a reply to a read
+CACHE_KIND = 0  # endpoint kind of cache nodes
+ORIGIN_KIND = 1  # endpoint kind of the origin
+ORIGIN_STARTED_AT = -1e12  # milliseconds; long before any run
+RESET_DELAY_MS = 1.0  # delay until a node resets the connection of an attempt that a fault affects
 
 ReplyCallback = Callable[[Result, int], None]  # called with the result and the cache status
 FetchResultCallback = Callable[[bool], None]  # called with whether a fetch from the origin succeeded
@@ -27,16 +27,16 @@
 
 
 class ConnectOutcome(Enum):
-    """What becomes of a new connection."""
+    """The outcome of opening a connection."""
 
     ACCEPTED = "accepted"
-    NO_SLOT = "no slot"  # the node has too many connections, and says so to the first request
+    NO_SLOT = "no slot"  # the node is at its limit, and rejects the first request
     REFUSED = "refused"
 
 
 @dataclass(slots=True)
 class NodeRequest:
-    """One attempt as a node receives it. Work is in milliseconds on a core of speed 1."""
+    """An attempt as a node receives it. Work is in milliseconds on a core of speed 1."""
 
     request: str
     key: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodePlacement:
-    """Where and how one node runs."""
+    """The id, zone, speed and start time of a node."""
 
     uid: str
     zone: int
@@ -60,7 +60,7 @@
 
 
 class SimulatedNode:
-    """What all nodes have in common: connections, work, and faults by which attempts get no reply."""
+    """The common part of all nodes: connections, work, and faults that prevent replies."""
 
     def __init__(
         self, kernel: Kernel, placement: NodePlacement, config: MachineConfig, max_connections: int
@@ -71,27 +71,26 @@
         self.number = hash_uid(placement.uid)
         self.machine = Machine(kernel, config, placement.started_at)
         self.state = Status.READY
-        # one entry for each active fault
-        self.silence_count = 0  # while silent, connections neither open nor break
-        self.hang_shares: list[float] = []  # shares of attempts that are never answered
-        self.reset_shares: list[float] = []  # shares of attempts that lose their connection
-        self.slow_factors: list[float] = []
+        self.silence_count = 0  # active silence faults; connections of a silent node neither open nor break
+        self.hang_shares: list[float] = []  # share of unanswered attempts, by active fault
+        self.reset_shares: list[float] = []  # share of attempts that lose their connection, by active fault
+        self.slow_factors: list[float] = []  # factor, by active fault
         self.connections = 0
         self.max_connections = max_connections
         self.handshake_ms = 0.0
-        self.epoch = 0  # the number of stops: connections of an earlier epoch are closed
+        self.epoch = 0  # number of stops; connections of an earlier epoch are closed
         self.kind = CACHE_KIND
         self.cell = 0
         self.on_connections_lost: Callable[[SimulatedNode], None] = _ignore_node
-        self._fate_stream: UniformStream
+        self._fault_stream: UniformStream
 
     def member(self, started_at: float) -> Endpoint:
-        """Return the node's entry in the endpoint list; `started_at` is on the routers' clock."""
+        """Return the node's entry in the endpoint list; `started_at` is milliseconds."""
         return Endpoint(self.number, self.state, started_at, self.zone, self.cell, self.kind)
 
     @property
     def silent(self) -> bool:
-        """Whether the node sends nothing at all."""
+        """Whether the node sends no messages because of a fault."""
         return self.silence_count > 0
 
     @property
@@ -105,25 +104,25 @@
         return max(self.reset_shares, default=0.0)
 
     def set_slowdown(self, factor: float, active: bool) -> None:
-        """Add or remove a fault that slows the node down; the worst active fault counts."""
+        """Add or remove a slowdown fault; the largest factor of all active faults applies."""
         if active:
             self.slow_factors.append(factor)
         else:
             self.slow_factors.remove(factor)
         self.machine.set_slowdown(max(self.slow_factors, default=1.0))
 
-    def set_fate_stream(self, stream: UniformStream) -> None:
-        """Set the stream that decides which attempts meet a fault."""
-        self._fate_stream = stream
+    def set_fault_stream(self, stream: UniformStream) -> None:
+        """Set the random stream that decides which attempts a fault affects."""
+        self._fault_stream = stream
 
     def connect(self) -> ConnectOutcome:
-        """Handle a new connection. One beyond the limit is rejected at its first request."""
+        """Open a connection; a connection beyond the limit is rejected at its first request."""
         if not self.machine.up:
             return ConnectOutcome.REFUSED
         if self.handshake_ms:
             self.machine.submit(self.handshake_ms, _ignore_completion)
             if not self.machine.up:
-                return ConnectOutcome.REFUSED  # the machine crashed by this work
+                return ConnectOutcome.REFUSED  # this work crashed the machine
         if self.connections >= self.max_connections:
             return ConnectOutcome.NO_SLOT
         self.connections += 1
@@ -137,7 +136,7 @@
         """Handle an attempt whose last byte has arrived."""
         hang_share = self.hang_share
         reset_share = self.reset_share
-        draw = self._fate_stream() if hang_share or reset_share else 1.0
+        draw = self._fault_stream() if hang_share or reset_share else 1.0
         if draw < hang_share:
             return
         if draw < hang_share + reset_share:
@@ -149,11 +148,14 @@
         self.handle_request(request)
 
     def handle_request(self, request: NodeRequest) -> None:
-        """Do the work of an attempt and reply."""
+        """Submit the work of an attempt, and reply to it."""
         raise NotImplementedError
 
     def submit_work(self, request: NodeRequest, work: float, done: Callable[[], None]) -> None:
-        """Submit work for an attempt, and reject the attempt if the machine does."""
+        """Submit work for an attempt; the attempt is rejected if the machine rejects the work.
+
+        `done` is called when the work completes; `work` is in milliseconds on a core of speed 1.
+        """
         item = self.machine.submit(work, done)
         if item is None:
             self._send_reply(request, Result.BUSY if self.machine.up else Result.RESET, 0)
@@ -166,13 +168,13 @@
             request.reply(result, cache_status)
 
     def on_cancelled(self, request: NodeRequest) -> None:
-        """Handle that the router closed the attempt's connection."""
+        """Cancel an attempt whose connection the router closed."""
         request.finished = True
         if request.work_item is not None:
             self.machine.cancel(request.work_item)
 
     def stop(self) -> None:
-        """End the process: connections are reset, and new ones refused."""
+        """End the process: connections are reset, and new ones are refused."""
         self.machine.stop()
         self.connections = 0
         self.epoch += 1
@@ -184,15 +186,15 @@
 
 
 def _ignore_node(_node: SimulatedNode) -> None:
-    """Ignore that a node lost its connections."""
+    """Ignore the loss of a node's connections."""
 
 
 def _ignore_key(_key: int) -> None:
-    """Ignore that a key was written."""
+    """Ignore the write of a key."""
 
 
 def _ignore_completion() -> None:
-    """Ignore that the work of a handshake is done."""
+    """Ignore the completion of a handshake."""
 
 
 class SimulatedOrigin(SimulatedNode):
@@ -206,7 +208,7 @@
             queue=config.queue,
             contention=config.crowding,
             stops_cancelled_work=config.cancels,
-            overrun_after_ms=1000.0 * config.falls_when,
+            full_queue_limit_ms=1000.0 * config.falls_when,
         )
         placement = NodePlacement("origin", zone, config.speed, ORIGIN_STARTED_AT)
         super().__init__(kernel, placement, machine_config, config.connections)
@@ -223,7 +225,7 @@
         epoch = self.epoch
 
         def recover() -> None:
-            if self.epoch == epoch:  # else a fault stopped it meanwhile, and starts it again
+            if self.epoch == epoch:  # otherwise a fault has stopped the origin, and starts it again
                 self.start()
 
         self.kernel.call_after(self.recovery_ms, recover)
@@ -240,12 +242,12 @@
 
 
 class SimulatedCacheNode(SimulatedNode):
-    """A cache node. On a miss it says so or, in through mode, fetches the value itself."""
+    """A cache node. It replies with a miss or, in read-through mode, fetches the value from the origin."""
 
     def __init__(
         self, kernel: Kernel, placement: NodePlacement, group: NodeGroupConfig, fetch: OriginFetch | None
     ) -> None:
-        """Create a node of a group; `fetch` is None unless in through mode."""
+        """Create a node of a group; `fetch` is None in cache-aside mode."""
         machine_config = MachineConfig(
             cores=group.cores,
             speed=placement.speed,
@@ -269,7 +271,7 @@
     def handle_request(self, request: NodeRequest) -> None:
         """Reply from the store, fetch the value from the origin, or reply with a miss."""
         if request.write:
-            # in through mode a write passes to the origin; in aside mode none comes here
+            # in read-through mode a write goes to the origin; in cache-aside mode nodes get no writes
             self._fetch_and_reply(request)
         elif self.memory.get(request.key, self.kernel.time):
             self.submit_work(request, request.work, lambda: self._send_reply(request, Result.OK, CACHE_HIT))
--- a/rosepick/lab/model/patch_campaign.py
+++ b/rosepick/lab/model/patch_campaign.py
@@ -1,12 +1,12 @@
-"""A patch of all cache nodes' hosts: each node drains, stops, and starts again cold.
+"""A rolling restart of all cache nodes, as for a patch of their hosts: each drains, stops and starts cold.
 
-The fault's `manner` says in which order:
+The fault's `manner` is the order:
 
 alone    each node at a random time of its own
-one      the next node once the one before is up again
-fixed    a fixed number at a time, the next node once one is up again
-agreed   by the rules of the fleet's disruption budget (`rosepick.fleet`): out until warm, spread over zones,
-         and only while the stores have capacity
+one      one node at a time; the next one drains once the node before is up again
+fixed    a fixed number at a time; the next one drains once a node is up again
+agreed   by the fleet's disruption budget (`rosepick.fleet`): a node counts as out until it is warm, nodes
+         that are out are spread over zones, and nodes drain only while the stores have capacity
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from .nodes import SimulatedCacheNode
 from .simulation import Simulation
 
-DRAIN_TIME_MS = 1_500.0  # from a node's drain until its process ends
-POLL_INTERVAL_MS = 500.0
-HEALTH_REPORT_AGE_MS = 1_000.0  # of the second that health reports are about
-WARM_CAPACITY_SHARE = 0.9  # of its capacity, from which on a node counts as warm
+DRAIN_TIME_MS = 1_500.0  # time from the start of a node's drain to the end of its process
+POLL_INTERVAL_MS = 500.0  # interval between checks whether another node may drain
+HEALTH_REPORT_AGE_MS = 1_000.0  # age of the second that health reports describe
+WARM_CAPACITY_SHARE = 0.9  # share of its capacity from which a node counts as warm
 
 
 class PatchCampaign:
-    """One patch campaign over all cache nodes."""
+    """A patch campaign over all cache nodes that are ready when it starts."""
 
     def __init__(self, simulation: Simulation, fault: FaultConfig) -> None:
         self.simulation = simulation
@@ -56,7 +56,7 @@
         self._advance()
 
     def _advance(self) -> None:
-        """Complete warm nodes and start further drains, at every poll."""
+        """Complete nodes that are back, start further drains, and schedule the next poll."""
         self._complete_warm_nodes()
         if self.fault.manner != "alone":
             while self.pending and self._may_start(self.pending[0]):
@@ -79,7 +79,7 @@
         return out_count < (1 if self.fault.manner == "one" else self.fault.most)
 
     def _fleet_state(self, uid: str) -> FleetState:
-        """Return the fleet state in which a node requests to drain."""
+        """Return the fleet state with a drain request of one node."""
         members: dict[str, FleetMember] = {}
         for name, node in self.nodes.items():
             is_lost = name not in self.phases and not self._is_warm(node)
@@ -96,7 +96,10 @@
         return FleetState(members=members, capacity_permille=capacity_permille)
 
     def _health_reports(self) -> list[tuple[int, failure_detector.HealthReport]]:
-        """Return what agents would report of the second before: one router for all, and each cache node."""
+        """Return the health reports that agents would send about the second before.
+
+        One report stands for all routers, and one for each cache node that is up.
+        """
         reported_at = self.simulation.kernel.time - HEALTH_REPORT_AGE_MS
         counts = self.simulation.measure.second_at(reported_at).counts
         up_count = sum(node.machine.up for node in self.nodes.values())
@@ -114,7 +117,10 @@
         return [(MemberKind.ROUTER, router), *[(MemberKind.CACHE, cache)] * up_count]
 
     def _is_warm(self, node: SimulatedCacheNode) -> bool:
-        return node.machine.up and node.machine.warmth(self.simulation.kernel.time) >= WARM_CAPACITY_SHARE
+        return (
+            node.machine.up
+            and node.machine.capacity_share(self.simulation.kernel.time) >= WARM_CAPACITY_SHARE
+        )
 
     def _start_drain(self, uid: str) -> None:
         node = self.nodes[uid]
@@ -144,7 +150,7 @@
         self.simulation.discovery.report_change(node.member(self.simulation.start_time_of(node)))
 
     def _complete_warm_nodes(self) -> None:
-        """Complete the nodes that are back and, if the manner is "agreed", warm."""
+        """Complete the nodes that are back and, if `manner` is `agreed`, warm."""
         must_be_warm = self.fault.manner == "agreed"
         for uid, phase in list(self.phases.items()):
             if phase is not MemberPhase.BACK:
--- a/rosepick/lab/model/random_streams.py
+++ b/rosepick/lab/model/random_streams.py
@@ -1,7 +1,7 @@
-"""Random numbers: one stream for each use, all from one seed, drawn by numpy in blocks.
+"""Random number streams, one for each use, derived from one seed and drawn by numpy in blocks.
 
-A stream depends only on the seed and its own name: what one part of the model draws does not change the draws
-of another. Two policies that are compared get the same arrivals, keys and faults.
+A stream depends only on the seed and its name, so the draws of one part of the model do not change those of
+another. Policies that are compared get the same arrivals, keys and faults.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 import numpy as np
 
-BLOCK_SIZE = 4096  # numbers that are drawn at one time
+BLOCK_SIZE = 4096  # numbers that are drawn at a time
 
 NumberT = TypeVar("NumberT", int, float)
 WorkDistribution = Literal["fixed", "exponential", "lognormal"]
 
 
 def create_generator(seed: int, name: str) -> np.random.Generator:
-    """Return the random generator of one use."""
+    """Return the random generator of a name."""
     return np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, crc32(name.encode())])))
 
 
 class _BlockStream(Generic[NumberT]):
-    """Numbers that are drawn in blocks and handed out one at a time at little cost."""
+    """A stream of numbers that are drawn in blocks, which is cheaper than single draws."""
 
     __slots__ = ("_block", "_generator")
 
@@ -44,7 +44,7 @@
 
 
 class UniformStream(_BlockStream[float]):
-    """Numbers that are uniform in [0, 1)."""
+    """A stream of numbers that are uniform in [0, 1)."""
 
     __slots__ = ()
 
@@ -53,12 +53,15 @@
 
 
 class WorkStream(_BlockStream[float]):
-    """Amounts of work with a mean of 1."""
+    """A stream of amounts of work with a mean of 1."""
 
     __slots__ = ("_distribution", "_spread")
 
     def __init__(self, seed: int, name: str, distribution: WorkDistribution, spread: float) -> None:
-        """Draw from a distribution; `spread` is the standard deviation of the logarithm if lognormal."""
+        """Draw from a distribution.
+
+        `spread` is the standard deviation of the logarithm, for `lognormal` only.
+        """
         super().__init__(seed, name)
         self._distribution = distribution
         self._spread = spread
@@ -68,12 +71,15 @@
             return [1.0] * BLOCK_SIZE
         if self._distribution == "exponential":
             return list(self._generator.exponential(1.0, BLOCK_SIZE).tolist())
-        mean_of_logarithm = -(self._spread**2) / 2  # which makes the mean of the values 1
+        mean_of_logarithm = -(self._spread**2) / 2  # so that the mean of the values is 1
         return list(self._generator.lognormal(mean_of_logarithm, self._spread, BLOCK_SIZE).tolist())
 
 
 class ZipfStream(_BlockStream[int]):
-    """Ranks from 0 on, in proportion to (rank + 1) ** -exponent, by inversion of the distribution."""
+    """A stream of ranks from 0 on, with probabilities proportional to (rank + 1) ** -exponent.
+
+    Ranks are drawn by inversion of the cumulative distribution.
+    """
 
     __slots__ = ("_cumulative_shares",)
 
--- a/rosepick/lab/model/request_payload.py
+++ b/rosepick/lab/model/request_payload.py
@@ -1,4 +1,4 @@
-"""What a request carries through a simulated router's engine."""
+"""The payload that a simulated request carries through a router's engine."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @dataclass(slots=True)
 class RequestPayload:
-    """The model's side of one `RequestContext`."""
+    """The model's data about one `RequestContext`."""
 
     request: ScheduledRequest
     client_try: ClientTry
-    on_ended: Callable[[TryOutcome, float], None]  # called with the outcome and Retry-After in milliseconds
-    missed_at: list[SimulatedCacheNode] = field(default_factory=list)  # nodes where a read missed
+    on_ended: Callable[[TryOutcome, float], None]  # with the outcome, and Retry-After in milliseconds
+    missed_at: list[SimulatedCacheNode] = field(default_factory=list)  # cache nodes that replied with a miss
--- a/rosepick/lab/model/router_settings.py
+++ b/rosepick/lab/model/router_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the routers of an experiment get, as the platform would configure them."""
+"""Derives the settings of simulated routers from an experiment."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from ..experiment import Experiment
 from .nodes import ORIGIN_KIND
 
-OVER_SHARE_WORTH = 0.05  # what a request beyond its tenant's share counts, as a part of its worth
-CROSS_ZONE_COST = 0.05  # of an attempt to another zone, in units of worth
+OVER_SHARE_WORTH = 0.05  # factor on the value of a request beyond its tenant's share
+CROSS_ZONE_COST = 0.05  # cost of an attempt to another zone, in units of a request's value
 
 
 def router_settings_for(experiment: Experiment, position: int = 0, zone: int = 0) -> api.RouterSettings:
-    """Return the settings of one router; times are milliseconds."""
+    """Return the settings of the router at `position` in a zone; times are milliseconds."""
     warming_groups = [group for group in experiment.fleet if group.warm_after > 0]
     total_share = sum(tenant.share for tenant in experiment.tenants)
     return api.RouterSettings(
--- a/rosepick/lab/model/rule_monitor.py
+++ b/rosepick/lab/model/rule_monitor.py
@@ -1,7 +1,7 @@
-"""Checks the four rules of the platform from what nodes and clients observe, not from what routers report.
+"""Checks the four rules for routers by what nodes and clients observe, not by what routers report.
 
-The rules: every request gets one answer in time, a repeated execution does no harm, draining nodes get
-nothing new, and cold nodes are not overloaded.
+The rules are: every request gets one final answer in time, a repeated execution does no harm, draining nodes
+get no new attempts, and cold nodes are not overloaded.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from ...decisions.api import NEVER_RAN, Effect, Group, RequestClass, Result
 from ..measure import Measure
 
-ANSWER_GRACE_MS = 50.0  # an answer may come so long after the deadline, as on sockets
+ANSWER_GRACE_MS = 50.0  # accepted delay of a final answer after the deadline, as on sockets
 
 
 class Rule(StrEnum):
-    """A rule; the values are names in results."""
+    """The rules; the values are names in results."""
 
     ANSWERED = "answered"
     EFFECT = "effect"
@@ -26,32 +26,32 @@
 
 @dataclass(slots=True)
 class SentAttempt:
-    """One attempt as its node receives it. Times are milliseconds."""
+    """An attempt that was sent to a node. Times are milliseconds."""
 
     sent_at: float
     node: int
     node_name: str
     zone: int
     cell: int
-    drain_known_since: float | None = None  # since when its router knows that the node drains
+    drain_known_since: float | None = None  # when its router was notified of the node's drain
     in_flight: bool = True
     may_have_run: bool = True
 
 
 @dataclass(slots=True)
 class ClientTry:
-    """One try of a client's request, as it was sent to a router."""
+    """A try of a client's request, which was sent to a router."""
 
     name: str
     request_class: RequestClass
     deadline: float  # milliseconds
     attempts: list[SentAttempt] = field(default_factory=list)
     answers: int = 0
-    client_gone: bool = False  # its client disconnected, or its router was killed
+    client_gone: bool = False  # the client disconnected, or its router was killed
 
 
 class RuleMonitor:
-    """Checks all tries of a run and records violations."""
+    """Checks all tries of a run, and records violations of the rules."""
 
     def __init__(self, measure: Measure, max_attempts: int, stop_sending_within_ms: float) -> None:
         self.measure = measure
@@ -84,7 +84,7 @@
 
     @staticmethod
     def _find_repeat_violation(client_try: ClientTry, attempt: SentAttempt) -> str:
-        """Return what is wrong with repeating a request that may have run; empty if nothing is."""
+        """Return why a request that may have run must not be repeated; empty if it may be."""
         request_class = client_try.request_class
         if request_class.effect is Effect.RETRYABLE:
             return ""
@@ -112,7 +112,7 @@
             attempt.may_have_run = False
 
     def record_answer(self, client_try: ClientTry, now: float, refused: bool, router: str) -> None:
-        """Check a final answer that a router gave."""
+        """Check a final answer of a router; `now` is milliseconds, `refused` whether it is a refusal."""
         client_try.answers += 1
         if client_try.answers > 1:
             self._record_violation(Rule.ANSWERED, client_try.name, router, now, "answered twice")
@@ -129,12 +129,12 @@
             self._record_violation(Rule.EFFECT, client_try.name, router, now, text)
 
     def check_finished(self, client_try: ClientTry, now: float, router: str) -> None:
-        """Check, long after all deadlines, that a try was answered."""
+        """Check, after all deadlines, that a try got a final answer."""
         if not client_try.answers and not client_try.client_gone:
             self._record_violation(Rule.ANSWERED, client_try.name, router, now, "never answered")
 
     def record_cold_overload(self, node: str, now: float) -> None:
-        """Record that a cold node was sent more than it could do, by all routers together, and crashed."""
+        """Record that a cold node crashed, because all routers together sent it more than its capacity."""
         self.measure.cold_overloads += 1
         self._record_violation(Rule.COLD, "", node, now, "pushed over while it was cold")
 
--- a/rosepick/lab/model/simulated_router.py
+++ b/rosepick/lab/model/simulated_router.py
@@ -1,8 +1,8 @@
-"""One simulated router: the real `Engine` and decisions, behind ports that carry attempts through the model.
+"""A simulated router: the real `Engine` and decisions, with ports that send attempts to simulated nodes.
 
 Connecting, sending and ending an attempt are separate steps, as on sockets. A new connection takes a round
-trip and work at the node, the request arrives after a latency, its reply takes another, and a cancelled
-attempt closes its connection, which the node notices after a latency.
+trip and work at the node. The request and its reply take a one-way latency each. Cancelling an attempt closes
+its connection, which the node notices after a latency.
 """
 
 from __future__ import annotations
@@ -25,22 +25,22 @@
 from .rule_monitor import ClientTry, RuleMonitor, SentAttempt
 from .upstream_connections import IdleConnections, SimulatedConnection
 
-CONNECT_TIMEOUT_MS = 250.0  # until a connection that does not open is given up
-SWEEP_INTERVAL_MS = 250.0  # between two closings of idle connections
-REJECTION_LATENCIES = 3.0  # more one-way latencies until a connection without a slot is known to be rejected
+CONNECT_TIMEOUT_MS = 250.0  # time after which opening a connection fails
+IDLE_CHECK_INTERVAL_MS = 250.0  # interval between checks for idle connections to close
+REJECTION_LATENCIES = 3.0  # one-way latencies from the accept of a connection without a slot to its rejection
 
 
 def payload_of(request: RequestContext) -> RequestPayload:
-    """Return what the model attached to a request."""
+    """Return the payload that the model attached to a request."""
     payload = request.payload
     assert isinstance(payload, RequestPayload)
     return payload
 
 
 class SimulatedExchange:
-    """One attempt on its way."""
+    """The exchange of one attempt with a node: connection, request and reply."""
 
-    __slots__ = ("attempt", "connection", "node", "node_request", "router", "sent")
+    __slots__ = ("attempt", "connection", "node", "node_request", "router", "sent_attempt")
 
     def __init__(self, router: SimulatedRouter, attempt: UpstreamAttempt, node: SimulatedNode) -> None:
         self.router = router
@@ -48,7 +48,7 @@
         self.node = node
         self.connection: SimulatedConnection | None = None
         self.node_request: NodeRequest | None = None
-        self.sent: SentAttempt | None = None
+        self.sent_attempt: SentAttempt | None = None
 
     def connect(self) -> None:
         """Open a connection; the request is sent once it is open."""
@@ -94,7 +94,7 @@
         router = self.router
         payload = payload_of(self.attempt.request)
         request = payload.request
-        self.sent = router.record_send(payload.client_try, self.node)
+        self.sent_attempt = router.record_send(payload.client_try, self.node)
         self.node_request = NodeRequest(
             payload.client_try.name,
             request.key,
@@ -134,7 +134,7 @@
         router.kernel.call_after(router.latency_to(self.node), lambda: self._on_ended(result, cache_status))
 
     def _on_ended(self, result: Result, cache_status: int) -> None:
-        """Handle that the attempt's end has reached the router, which processes it when it has time."""
+        """Queue the result of an attempt, which has reached the router, for its processor."""
         if self._is_active():
             self.router.spend_cpu(
                 self.router.config.attempt_us, lambda: self._process_result(result, cache_status)
@@ -157,7 +157,7 @@
         router.engine.finish_attempt(self.attempt, result, cache_status, response=self.node)
 
     def on_connection_reset(self) -> None:
-        """Handle that the node's process ended and its connections were reset."""
+        """End the attempt, because the node's process ended and its connections were reset."""
         router = self.router
         result = Result.RESET if self.node_request is not None else Result.CONNECT_FAILED
         if self.node_request is not None:
@@ -178,17 +178,17 @@
             self.connection.close()
 
     def _record_outcome(self, result: Result) -> None:
-        if self.sent is not None:
-            self.router.monitor.record_outcome(self.sent, result)
+        if self.sent_attempt is not None:
+            self.router.monitor.record_outcome(self.sent_attempt, result)
 
 
 @dataclass(frozen=True, slots=True)
 class RouterEnvironment:
-    """What all routers of a simulation share."""
+    """The parts of a simulation that all routers share."""
 
     kernel: Kernel
     network: SimulatedNetwork
-    nodes: dict[int, SimulatedNode]  # by number
+    nodes: dict[int, SimulatedNode]  # by node number
     discovery: SimulatedDiscovery
     monitor: RuleMonitor
     config: RoutersConfig
@@ -196,7 +196,7 @@
 
 
 class SimulatedRouter:
-    """One router: the downstream and upstream ports, endpoint source and clock of its engine."""
+    """A router; it is the downstream port, upstream port and endpoint source of its engine."""
 
     def __init__(
         self,
@@ -205,7 +205,7 @@
         seed: int,
         decider: DecisionModule | None,
     ) -> None:
-        """Start a router, with the real decisions if `decider` is None."""
+        """Start a router; it uses the real decisions if `decider` is None."""
         self.name = f"router-{settings.position}"
         self.zone = settings.zone
         self.kernel = environment.kernel
@@ -218,9 +218,9 @@
         self.alive = True
         self.exchanges: dict[UpstreamAttempt, SimulatedExchange] = {}
         self.idle_connections = IdleConnections(self.kernel, settings.routers)
-        self._unread_requests: dict[RequestContext, RequestPayload] = {}  # accepted, but no time for them yet
-        self._busy_until = 0.0  # when all processor time that was asked for is spent
-        self.kernel.call_after(SWEEP_INTERVAL_MS, self._close_idle_connections)
+        self._unread_requests: dict[RequestContext, RequestPayload] = {}  # accepted, but not processed yet
+        self._busy_until = 0.0  # when the processor has done all work so far
+        self.kernel.call_after(IDLE_CHECK_INTERVAL_MS, self._close_idle_connections)
         self.engine = Engine(settings, seed, self.kernel, decider)
         self.engine.upstream = self
         self.engine.endpoint_source = self
@@ -240,7 +240,7 @@
             self.engine.update_endpoints(event)
 
     def set_watching(self, enabled: bool) -> None:
-        """Follow discovery from now on, or no longer."""
+        """Subscribe to discovery, or unsubscribe."""
         self.discovery.set_subscribed(self.subscription, enabled)
 
     # ------------------------------------------------------------------------------------------- upstream
@@ -268,13 +268,13 @@
             exchange.send_request()
 
     def cancel_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Cancel an attempt."""
+        """Cancel an attempt, if it has not ended."""
         exchange = self.exchanges.pop(attempt, None)
         if exchange is not None:
             exchange.cancel()
 
     def spend_cpu(self, cost_us: float, callback: Callable[[], None]) -> None:
-        """Call back once so many microseconds of processor time are spent, after those asked for before."""
+        """Queue `cost_us` microseconds of processor time, and call back when they are spent."""
         now = self.kernel.time
         if not cost_us:
             callback()
@@ -285,11 +285,11 @@
     def _close_idle_connections(self) -> None:
         if not self.alive:
             return
-        self.kernel.call_after(SWEEP_INTERVAL_MS, self._close_idle_connections)
+        self.kernel.call_after(IDLE_CHECK_INTERVAL_MS, self._close_idle_connections)
         self.idle_connections.close_expired()
 
     def record_send(self, client_try: ClientTry, node: SimulatedNode) -> SentAttempt:
-        """Record that an attempt's first byte is sent."""
+        """Record that an attempt is sent to a node now."""
         attempt = SentAttempt(
             sent_at=self.kernel.time,
             node=node.number,
@@ -302,7 +302,7 @@
         return attempt
 
     def store_fetched_value(self, attempt: UpstreamAttempt, node: SimulatedNode, result: Result) -> None:
-        """Store what the origin replies at the cache nodes where the read missed."""
+        """Store a value from the origin at the cache nodes that missed; record a node that missed."""
         payload = payload_of(attempt.request)
         if result is Result.MISS and isinstance(node, SimulatedCacheNode):
             payload.missed_at.append(node)
@@ -312,7 +312,7 @@
                     cache_node.memory.put(payload.request.key, payload.request.size, self.kernel.time)
 
     def on_node_connections_lost(self, node: SimulatedNode) -> None:
-        """Handle that a node's process ended and all connections to it broke."""
+        """End all attempts at a node whose process ended, and close the idle connections to it."""
         for exchange in [exchange for exchange in self.exchanges.values() if exchange.node is node]:
             exchange.on_connection_reset()
         if self.can_reach(node):
@@ -322,7 +322,7 @@
     # ----------------------------------------------------------------------------------------- downstream
 
     def accept(self, payload: RequestPayload, is_write: bool, is_retry: bool) -> RequestContext:
-        """Accept a client's try."""
+        """Accept a try of a client, and return its request context."""
         scheduled = payload.request
         request = RequestContext(
             class_index=scheduled.klass,
@@ -347,11 +347,11 @@
         self._finish_request(request, TryOutcome.SERVED, 0.0)
 
     def start_response_stream(self, request: RequestContext, response: object) -> None:
-        """Not used: all responses of the model are whole."""
+        """Raise NotImplementedError: the model has no streamed responses."""
         raise NotImplementedError
 
     def send_refusal(self, request: RequestContext, retry_after_ms: float) -> None:
-        """Refuse a request."""
+        """Send a refusal to the client, with Retry-After in milliseconds."""
         self._finish_request(request, TryOutcome.REFUSED, retry_after_ms)
 
     def send_failure(self, request: RequestContext, _timed_out: bool) -> None:
@@ -359,7 +359,7 @@
         self._finish_request(request, TryOutcome.FAILED, 0.0)
 
     def send_internal_error(self, request: RequestContext) -> None:
-        """Report a fault of the router to the client."""
+        """Report an internal error of the router to the client."""
         self._finish_request(request, TryOutcome.FAILED, 0.0)
 
     def _finish_request(self, request: RequestContext, outcome: TryOutcome, retry_after_ms: float) -> None:
@@ -370,14 +370,14 @@
         self.monitor.record_answer(payload.client_try, self.kernel.time, refused, self.name)
         payload.on_ended(outcome, retry_after_ms)
 
-    # ----------------------------------------------------------------------------------------- its end
+    # ---------------------------------------------------------------------------------------- shutdown
 
     def unfinished_payloads(self) -> list[RequestPayload]:
         """Return the payloads of all requests that the engine has not answered."""
         return [payload_of(request) for request in self.engine.requests.values() if not request.is_finished]
 
     def kill(self) -> list[RequestPayload]:
-        """End the process. Return the payloads of the requests whose clients see their connection break."""
+        """End the process. Return the payloads of the requests whose clients lose their connection."""
         self.alive = False
         lost = list(self._unread_requests.values())
         for payload in self.unfinished_payloads():
--- a/rosepick/lab/model/simulation.py
+++ b/rosepick/lab/model/simulation.py
@@ -1,4 +1,4 @@
-"""A whole simulation: the fleet, its routers and clients, built from an experiment."""
+"""The simulation of an experiment: the fleet, its routers and its clients."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 from .simulated_router import RouterEnvironment, SimulatedRouter
 from .workload import ScheduledRequest, Workload
 
-DRAIN_TIME_MS = 3_000.0  # from a node's drain until its process ends
-SAMPLE_INTERVAL_MS = 1_000.0  # of loads
-MIN_COLD_STARTED_AT = 1e-3  # milliseconds; an entry with 0 means that the node is warm
+DRAIN_TIME_MS = 3_000.0  # time from the start of a node's drain to the end of its process
+SAMPLE_INTERVAL_MS = 1_000.0  # interval between samples of the loads
+MIN_COLD_STARTED_AT = 1e-3  # milliseconds; a start time of 0 in the endpoint list means a warm node
 
 DeciderFactory = Callable[[api.RouterSettings, int, "Simulation"], DecisionModule | None]
 
 
 class Simulation:
-    """All that one run simulates."""
+    """All simulated parts of one run."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         measure: Measure,
         decider_factory: DeciderFactory = lambda *_: None,
     ) -> None:
-        """Build a run; `decider_factory` may return None for the real decisions."""
+        """Build a run from a seed; `decider_factory` may return None for the real decisions."""
         self.experiment = experiment
         self.seed = seed
         self.measure = measure
@@ -60,7 +60,7 @@
         )
         self.workload = Workload(experiment, seed)
         self._decider_factory = decider_factory
-        self._fate_stream = UniformStream(seed, "fates")
+        self._fault_stream = UniformStream(seed, "fates")
         self._speed_stream = UniformStream(seed, "speeds")
         self._fault_target_rng = create_generator(seed, "choices")
         self._node_count = 0
@@ -88,7 +88,7 @@
         return self.experiment.zones.index(name) if name else 0
 
     def start_time_of(self, node: SimulatedNode) -> float:
-        """Return when a node started, for its entry in the endpoint list: 0 if it is warm."""
+        """Return a node's start time for the endpoint list, in milliseconds; 0 if it started warm."""
         if node.machine.started_at > 0 or node.machine.is_cold(self.kernel.time):
             return max(MIN_COLD_STARTED_AT, node.machine.started_at)
         return 0.0
@@ -104,13 +104,13 @@
         for group in self.experiment.fleet:
             for index in range(group.count):
                 self.add_node(group, index, 1000.0 * group.born, announce=False)
-        # in through mode nodes fetch by themselves, and routers do not know the origin
+        # in read-through mode nodes fetch from the origin, which is not in the endpoint list
         is_aside = self.experiment.mode == "aside"
         listed = [node for node in self.nodes.values() if is_aside or node is not self.origin]
         self.discovery.load_members([node.member(self.start_time_of(node)) for node in listed])
 
     def _register_node(self, node: SimulatedNode) -> None:
-        node.set_fate_stream(self._fate_stream)
+        node.set_fault_stream(self._fault_stream)
         node.on_connections_lost = self._on_connections_lost
         self.nodes[node.number] = node
 
@@ -132,7 +132,7 @@
         return node
 
     def add_router(self, index: int) -> SimulatedRouter:
-        """Start a router, which knows nothing but its cached endpoint list."""
+        """Start a router, whose only state is its cached endpoint list."""
         zone = index % len(self.experiment.zones)
         settings = router_settings_for(self.experiment, index, zone)
         seed = int(create_generator(self.seed, f"router {index} at {self.kernel.time}").integers(1, 2**62))
@@ -147,7 +147,7 @@
     def _fetch_from_origin(
         self, node: SimulatedCacheNode, node_request: NodeRequest, on_result: FetchResultCallback
     ) -> None:
-        """Fetch a value or pass a write on for a node, in through mode."""
+        """Fetch a value or forward a write for a node, in read-through mode."""
         self._count_event("origin_attempts")
         request_latency = self.network.latency(node.zone, self.origin.zone)
 
@@ -168,7 +168,7 @@
             self.kernel.call_after(request_latency, lambda: self.origin.on_request(origin_request))
 
     def _invalidate_key(self, key: int) -> None:
-        """Remove a key that was written from all cache nodes."""
+        """Remove a written key from all cache nodes."""
         for node in self.nodes.values():
             if isinstance(node, SimulatedCacheNode):
                 node.memory.invalidate(key)
@@ -179,7 +179,7 @@
                 router.on_node_connections_lost(node)
 
     def _on_node_overloaded(self, node: SimulatedCacheNode) -> None:
-        """Take a cold node that crashed by overload down for good, and out of the endpoint list."""
+        """Stop a cold node that crashed by overload for good, and remove it from the endpoint list."""
         self.monitor.record_cold_overload(node.uid, self.kernel.time)
         node.stop()
         node.state = Status.REMOVED
@@ -201,7 +201,7 @@
     def choose_nodes(
         self, candidates: list[SimulatedCacheNode], count: int | None, share: float | None
     ) -> list[SimulatedCacheNode]:
-        """Draw some of the candidates, by count or by share; one if neither is given."""
+        """Draw candidates, by count or by share; one candidate if neither is given."""
         if count is None:
             count = 1 if share is None else round(share * len(candidates))
         count = max(0, min(count, len(candidates)))
@@ -209,19 +209,19 @@
         return [candidates[index] for index in sorted(indexes.tolist())]
 
     def restart_node(self, node: SimulatedCacheNode, down_ms: float) -> None:
-        """Stop a node's process, and start it again after so many milliseconds, cold and empty."""
+        """Stop a node's process, and start it again after `down_ms` milliseconds, cold and empty."""
         node.stop()
 
         def start() -> None:
             if node.state is not Status.READY or node.machine.up:
-                return  # it drains, or another fault has started it
+                return  # the node drains, or another fault has started it
             node.start()
             self.discovery.report_change(node.member(self.start_time_of(node)))
 
         self.kernel.call_after(down_ms, start)
 
     def drain_node(self, node: SimulatedCacheNode) -> None:
-        """Drain a node and end its process some seconds later."""
+        """Drain a node, and end its process after `DRAIN_TIME_MS`."""
         node.state = Status.DRAINING
         self.discovery.report_change(node.member(self.start_time_of(node)))
 
@@ -233,7 +233,7 @@
         self.kernel.call_after(DRAIN_TIME_MS, end)
 
     def kill_router(self, index: int, down_ms: float | None) -> None:
-        """Kill a router, and start it again after so many milliseconds, or never if None."""
+        """Kill a router, and start it again after `down_ms` milliseconds, or never if that is None."""
         router = self.routers[index]
         if router is None:
             return
@@ -296,7 +296,7 @@
 
 
 def _used_cold_budget(machine: Machine, now: float) -> float:
-    """Return the share of a cold machine's budget that is used; 0 if it has no budget or is warm."""
+    """Return the used share of a cold machine's budget; 0 if the machine is warm or has no budget."""
     config = machine.config
     if config.overload_multiple == inf or not machine.is_cold(now):
         return 0.0
--- a/rosepick/lab/model/upstream_connections.py
+++ b/rosepick/lab/model/upstream_connections.py
@@ -1,4 +1,4 @@
-"""The upstream connections of a simulated router, and those of them that are idle."""
+"""The upstream connections of a simulated router, and its pool of idle ones."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from .kernel import Kernel
 from .nodes import CACHE_KIND, ORIGIN_KIND, SimulatedNode
 
-MAX_IDLE_MS = 10_000.0  # how long a router keeps an idle connection at most
+MAX_IDLE_MS = 10_000.0  # longest time that a router keeps an idle connection
 
 
 class SimulatedConnection:
-    """One connection of a router to a node."""
+    """A connection of a router to a node."""
 
     __slots__ = ("epoch", "idle_since", "node", "open")
 
@@ -39,7 +39,10 @@
         self._by_node: dict[int, list[SimulatedConnection]] = {}
 
     def take(self, node: SimulatedNode) -> SimulatedConnection | None:
-        """Return the most recently used connection that is still good as far as the router knows."""
+        """Remove and return the most recently used connection that is open and not idle for too long.
+
+        Return None if there is none. The node may have closed the connection without the router's notice.
+        """
         connections = self._by_node.get(node.number, [])
         now = self._kernel.time
         while connections:
@@ -50,7 +53,7 @@
         return None
 
     def add(self, connection: SimulatedConnection) -> None:
-        """Keep a connection for the next attempt."""
+        """Add a connection that became idle."""
         connection.idle_since = self._kernel.time
         self._by_node.setdefault(connection.node.number, []).append(connection)
 
@@ -59,7 +62,7 @@
         return tuple(self._by_node.get(node.number, ()))
 
     def close_expired(self) -> None:
-        """Close connections that were idle for as long as their kind of node is worth."""
+        """Close connections that were idle for the keep-alive time of their kind of node."""
         now = self._kernel.time
         for number, connections in list(self._by_node.items()):
             for connection in connections:
--- a/rosepick/lab/model/workload.py
+++ b/rosepick/lab/model/workload.py
@@ -1,4 +1,4 @@
-"""What clients request: arrivals, classes, tenants, keys and work, from one seed and whatever the policy."""
+"""The requests of clients: arrivals, classes, tenants, keys and work. They depend on the seed only."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from ..experiment_config import RequestClassConfig, RoutersConfig
 from .random_streams import UniformStream, WorkStream, ZipfStream, create_generator
 
-COST_HINT_SPREAD = 0.3  # standard deviation of the logarithm of the error of a hint of a request's work
+COST_HINT_SPREAD = 0.3  # standard deviation of the logarithm of the error of a cost hint
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledRequest:
-    """One request of one client."""
+    """A request of a client."""
 
     number: int
     due_ms: float  # from the start of the run
@@ -31,12 +31,12 @@
     origin_work_ms: float
     cost_hint: float
     size: int  # bytes
-    abandon_after_ms: float  # how long after it was due its client gives up; inf: not before the deadline
+    abandon_after_ms: float  # from its due time to its abandonment; inf: not abandoned
 
 
 @dataclass(frozen=True, slots=True)
 class TracedRequest:
-    """One line of a trace file."""
+    """A line of a trace file."""
 
     due_ms: float
     klass: int
@@ -50,8 +50,8 @@
     def __init__(self, experiment: Experiment, seed: int) -> None:
         self.experiment = experiment
         self.seed = seed
-        self.surge_factors: list[float] = []  # the traffic's factor, by each active fault
-        self.flash_shares: list[float] = []  # the share of reads for one key, by each active fault
+        self.surge_factors: list[float] = []  # factor on the traffic, by active fault
+        self.flash_shares: list[float] = []  # share of reads for one key, by active fault
         self.key_by_rank = _key_numbers(experiment.keys.count)
         self._rank_stream = ZipfStream(seed, "keys", experiment.keys.count, experiment.keys.zipf)
         self._gap_generator = create_generator(seed, "arrivals")
@@ -87,7 +87,10 @@
     # ------------------------------------------------------------------------------------------- arrivals
 
     def _arrivals(self) -> Iterator[float]:
-        """Yield times of arrivals, without end. A fault's change of the rate counts from the next one on."""
+        """Yield times of arrivals in milliseconds, without end.
+
+        A fault that changes the rate takes effect from the next arrival on.
+        """
         traffic = self.experiment.traffic
         now = 0.0
         burst_size = traffic.burst if traffic.arrivals == "bursts" else 1
@@ -96,7 +99,7 @@
             rate = peak_factor * traffic.rate * math.prod(self.surge_factors) / burst_size / 1000.0
             gap = 1.0 if traffic.arrivals == "regular" else float(self._gap_generator.exponential())
             now += gap / rate
-            # thinning (Lewis and Shedler 1979): of arrivals at the peak rate the present share is accepted
+            # thinning (Lewis and Shedler 1979): accept the present rate's share of arrivals at the peak rate
             if peak_factor > 1.0 and self._gap_generator.random() * peak_factor > self._daily_factor(now):
                 continue
             for _ in range(burst_size):
@@ -117,7 +120,7 @@
     def _create_request(
         self, number: int, due: float, klass: int, traced: TracedRequest | None = None
     ) -> ScheduledRequest:
-        """Draw what a request consists of. The order of the draws is part of every seed's results."""
+        """Draw the properties of a request. The results of a seed depend on the order of the draws."""
         request_class = self.experiment.classes[klass]
         amount = self._work_streams[klass]()
         if traced is not None:
@@ -151,7 +154,7 @@
 
     @staticmethod
     def _draw_index(stream: UniformStream, edges: list[float]) -> int:
-        """Draw an index by cumulative shares. There are few, so that a linear search is cheapest."""
+        """Draw an index by cumulative shares. There are few shares, so a linear search is cheapest."""
         draw = stream()
         for index, edge in enumerate(edges):
             if draw < edge:
@@ -159,7 +162,7 @@
         return len(edges) - 1
 
     def _apply_drift(self, now: float) -> None:
-        """Let pairs of keys swap their popularity, as often as configured."""
+        """Swap the popularity of random pairs of keys at the configured rate."""
         drift = self.experiment.keys.drift
         while drift and now - self._last_drift_at >= 1000.0 / drift:
             self._last_drift_at += 1000.0 / drift
@@ -169,7 +172,7 @@
 
 
 def _key_numbers(count: int) -> list[int]:
-    """Return a key for each rank: its hash by the finalizer of splitmix64, never 0."""
+    """Return a key for each rank: a hash of the rank by the finalizer of splitmix64, never 0."""
     x = np.arange(1, count + 1, dtype=np.uint64) * np.uint64(0x9E3779B97F4A7C15)
     x ^= x >> np.uint64(30)
     x *= np.uint64(0xBF58476D1CE4E5B9)
@@ -201,7 +204,7 @@
     """Read the requests of an experiment's trace file.
 
     Raises:
-        ExperimentError: the file cannot be read or holds no request, or some lines are bad; it names each.
+        ExperimentError: the file cannot be read or has no request, or lines are invalid; it names each line.
     """
     path = Path(experiment.traffic.trace)
     try:
@@ -228,14 +231,20 @@
 
 
 class _TraceParser:
-    """Parses lines of a trace file, which name classes and tenants of an experiment."""
+    """Parses the lines of a trace file, with the classes and tenants of an experiment."""
 
     def __init__(self, experiment: Experiment) -> None:
-        self._classes = {one.name: index for index, one in enumerate(experiment.classes)}
-        self._tenants = {one.name: index for index, one in enumerate(experiment.tenants)}
+        self._classes = {config.name: index for index, config in enumerate(experiment.classes)}
+        self._tenants = {config.name: index for index, config in enumerate(experiment.tenants)}
 
     def parse(self, line: str) -> TracedRequest:
-        """Parse one line. It raises ValueError, KeyError or IndexError if the line is bad."""
+        """Parse one line.
+
+        Raises:
+            ValueError: the time is invalid.
+            KeyError: the class or tenant is not known.
+            IndexError: a field is missing.
+        """
         fields = [text.strip() for text in line.split(",")]
         due_ms = 1000.0 * float(fields[0])
         if not 0 <= due_ms < math.inf:
--- a/rosepick/lab/policies/__init__.py
+++ b/rosepick/lab/policies/__init__.py
@@ -1,4 +1,4 @@
-"""Baseline routing policies with the interface of the real router, to compare it with."""
+"""Baseline routing policies, which have the interface of the real router and are compared with it."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def create_decider(name: str, settings: api.RouterSettings, seed: int) -> DecisionModule:
-    """Create a router by the name of its policy.
+    """Create the decision module of a policy by its name.
 
     Raises:
         ValueError: there is no such policy.
--- a/rosepick/lab/policies/base.py
+++ b/rosepick/lab/policies/base.py
@@ -1,9 +1,9 @@
-"""What all baseline policies share: membership, attempts, retries, and one final answer for each request.
+"""The common part of all baseline policies: endpoint list, attempts, retries and final answers.
 
-A baseline policy has the interface of `rosepick.decisions.api`, as the real `Router` has, and keeps the same
-rules, so that both can be compared; only the choice of the cache node differs. It learns nothing, refuses
-nothing early, and ignores zones, sizes and warm-up (it does not keep the budget of cold nodes). Times are
-milliseconds. There is no I/O and no clock.
+A baseline policy has the interface of `rosepick.decisions.api`, like the real `Router`, and follows the same
+rules, so that both can be compared; only the choice of the cache node differs. It does not adapt to
+observations, refuses no request early, and ignores zones, sizes and warm-up (it does not observe the cold
+budget). Times are milliseconds. The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from .policy_request import PolicyAttempt, PolicyRequest
 from .timers import ATTEMPT_TIMER, DEADLINE_TIMER, DISCOVERY_TIMER, TIMER_KIND_MASK
 
-RETRY_CREDIT_PER_REQUEST = 0.2  # retries that a request earns
-MAX_RETRY_CREDIT = 12.0  # retries that are kept for a burst
-ATTEMPT_TIMEOUT_SHARE = 0.5  # an attempt has this part of the time left, or of the objective if that is less
-DEADLINE_MARGIN_MS = 0.001  # a request so near its deadline is late: the deadline may have been rounded up
+RETRY_CREDIT_PER_REQUEST = 0.2  # retries that each request adds to the retry budget
+MAX_RETRY_CREDIT = 12.0  # most retries that the retry budget holds, for a burst
+ATTEMPT_TIMEOUT_SHARE = 0.5  # timeout of an attempt, as a share of the time left or the objective, if less
+DEADLINE_MARGIN_MS = 0.001  # a request this close to its deadline is late: the deadline may be rounded up
 
 
 def hash64(*numbers: int) -> int:
-    """Return a 64-bit hash that is the same in every process, unlike that of `hash`."""
+    """Return a 64-bit hash of numbers that, unlike `hash`, is the same in every process."""
     return int.from_bytes(blake2b(repr(numbers).encode(), digest_size=8).digest(), "big")
 
 
@@ -46,13 +46,13 @@
     def pick(self, request: PolicyRequest, candidates: Sequence[PolicyNode], /) -> PolicyNode:
         """Return the cache node for the next attempt of a request.
 
-        The candidates, at least one, are ready and in the order of their numbers. If there are nodes that
-        were not tried before, they are the candidates.
+        There is at least one candidate. Candidates are ready, in the order of their numbers, and untried
+        unless all allowed nodes were tried.
         """
         raise NotImplementedError
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Decide on one event, and return the actions in the order in which to carry them out."""
+        """Handle one event, and return the resulting actions in the order in which they are to be done."""
         self.now = now
         self.actions = []
         if not self.started:
@@ -74,7 +74,7 @@
         return self.actions
 
     def origins_for(self, request: PolicyRequest) -> Sequence[PolicyNode]:
-        """Return the origins where a request may be sent, those not tried before if there are any."""
+        """Return the origins to which a request may be sent: the untried ones, or all if none is untried."""
         allowed = request.nodes_in_repeat_group(self.membership.origins)
         return request.untried_nodes(allowed) or allowed
 
@@ -109,7 +109,7 @@
             self._close(request)
         elif event.result is Result.MISS and self.settings.mode is Mode.ASIDE and not attempt.to_origin:
             request.at_origin = True
-            self._start_attempt(request)  # no retry: in aside mode the router fetches what a node lacks
+            self._start_attempt(request)  # no retry: in cache-aside mode a miss continues at the origin
         elif event.result is Result.INVALID:
             self._answer(request, api.Fail(request.ref))  # every endpoint would reject it
         else:
@@ -124,12 +124,12 @@
             return
         elif kind == DEADLINE_TIMER and self._is_late(request):
             self._give_up(request)
-        elif kind == ATTEMPT_TIMER and self.now >= request.check_at and self.retry_credit >= 1.0:
-            request.check_at = inf  # it is cancelled only once
+        elif kind == ATTEMPT_TIMER and self.now >= request.attempt_timeout_at and self.retry_credit >= 1.0:
+            request.attempt_timeout_at = inf  # so that the attempt is cancelled only once
             self.actions.append(api.Cancel(request.ref, len(request.attempts) - 1))
 
     def _on_client_done(self, ref: int, stream: bool = False) -> None:
-        """Close a request whose client disconnected, or whose response has begun to stream."""
+        """Close a request after its client disconnected or, with `stream`, its response began to stream."""
         request = self.requests.get(ref)
         if request is not None:
             self._close(request, stream)
@@ -140,7 +140,10 @@
         return self.now >= request.deadline - DEADLINE_MARGIN_MS
 
     def _start_attempt(self, request: PolicyRequest, price: float = 0.0) -> None:
-        """Start the next attempt if the rules and the retry budget allow it at this price; else give up."""
+        """Start the next attempt, or give up if the rules or the retry budget do not allow it.
+
+        `price` is the number of retries to take from the retry budget.
+        """
         node = self._choose_node(request) if self.retry_credit >= price and self._may_send(request) else None
         if node is None:
             self._give_up(request)
@@ -149,13 +152,13 @@
             self._send(request, node)
 
     def _may_send(self, request: PolicyRequest) -> bool:
-        """Return whether the rules allow another attempt, apart from the choice of its endpoint."""
+        """Return whether the rules allow another attempt at any endpoint."""
         if request.answered or request.in_flight or self._is_late(request):
             return False
         return len(request.attempts) < self.settings.limits.max_attempts and request.may_repeat(self.now)
 
     def _choose_node(self, request: PolicyRequest) -> PolicyNode | None:
-        """Return the node for the next attempt, or None if no node may have it."""
+        """Return the node for the next attempt, or None if there is no allowed node."""
         if not request.at_origin:
             allowed = request.nodes_in_repeat_group(self.membership.caches)
             untried = request.untried_nodes(allowed)
@@ -170,36 +173,36 @@
         request.at_origin = self.membership.is_origin(node)
         request.attempts.append(PolicyAttempt(node, self.now, request.at_origin))
         node.in_flight += 1
-        request.check_at = self._attempt_deadline(request)
-        if request.check_at == inf:
+        request.attempt_timeout_at = self._attempt_deadline(request)
+        if request.attempt_timeout_at == inf:
             self.actions.append(api.Send(request.ref, node.endpoint_id))
         elif self.settings.limits.allow_cancel:
             self.actions += (
                 api.Send(request.ref, node.endpoint_id),
-                api.SetTimer(ATTEMPT_TIMER | request.ref, request.check_at),
+                api.SetTimer(ATTEMPT_TIMER | request.ref, request.attempt_timeout_at),
             )
         else:
-            self.actions.append(api.Send(request.ref, node.endpoint_id, request.check_at))
+            self.actions.append(api.Send(request.ref, node.endpoint_id, request.attempt_timeout_at))
 
     def _attempt_deadline(self, request: PolicyRequest) -> float:
-        """Return until when to wait for the attempt just sent: inf if no other attempt could follow it."""
+        """Return the timeout, as a time, of the attempt just sent; inf if no other attempt could follow."""
         limits = self.settings.limits
         deadline = self.now + ATTEMPT_TIMEOUT_SHARE * min(
             request.deadline - self.now, request.request_class.objective_ms
         )
-        # a stop time is final: there is none for a stream, which it would cut off, or with no retry left
+        # without Cancel the timeout is final: a stream, which it would truncate, and a last try have none
         must_not_stop = not limits.allow_cancel and (
             request.request_class.streaming or self.retry_credit < 1.0
         )
         if must_not_stop or len(request.attempts) >= limits.max_attempts or not request.may_repeat(deadline):
             return inf
-        return deadline if self._retry_elsewhere(request) else inf
+        return deadline if self._has_untried_node(request) else inf
 
-    def _retry_elsewhere(self, request: PolicyRequest) -> bool:
-        """Return whether there is a node left that was not tried.
+    def _has_untried_node(self, request: PolicyRequest) -> bool:
+        """Return whether there is an allowed node that was not tried.
 
-        A slow origin is not asked for the same value again and again: the value of a cancelled fetch is lost
-        to the cache, though the origin may have done its work.
+        A slow origin does not get the same request repeatedly: the cache loses the value of a cancelled
+        fetch, although the origin may have done the work.
         """
         members = self.membership
         node_lists = (members.origins,) if request.at_origin else (members.caches, members.origins)
@@ -208,7 +211,7 @@
     # ----------------------------------------------------------------------------------- final answers
 
     def _give_up(self, request: PolicyRequest) -> None:
-        """Refuse a request if no endpoint can have executed it with an effect, else let it fail."""
+        """Refuse a request if it was not executed or may be repeated anywhere, otherwise fail it."""
         if (request.first_possible_execution is None or request.may_repeat_anywhere) and not self._is_late(
             request
         ):
@@ -222,8 +225,8 @@
         self._close(request)
 
     def _close(self, request: PolicyRequest, stream: bool = False) -> None:
-        """Cancel the attempt in flight, and forget the request once none is in flight."""
-        # as in the real router a fetch from the origin goes on, as others may use its value
+        """Cancel the attempt in flight, and remove the request once none is in flight."""
+        # as in the real router, a fetch from the origin continues, because other requests may use its value
         cancels = (
             not request.answered and request.in_flight and not request.attempts[-1].to_origin and not stream
         )
--- a/rosepick/lab/policies/bounded_hash.py
+++ b/rosepick/lab/policies/bounded_hash.py
@@ -12,23 +12,24 @@
 from .policy_request import PolicyRequest
 
 POINTS_PER_NODE = 100  # virtual nodes of each cache node on the ring
-LOAD_BOUND = 1.25  # times the mean of this router's attempts in flight, rounded up: the most at a node
+LOAD_BOUND = 1.25  # most attempts in flight at a node, as a multiple of the mean over nodes, rounded up
 
 
 class BoundedHash(BaselinePolicy):
-    """The first cache node under the load bound, on the ring from the key's point on.
+    """Chooses the first cache node below the load bound, from the key's point on the ring on.
 
-    All routers have the same ring, with the nodes of all zones.
+    All routers have the same ring, which holds the nodes of all zones. The load is this router's attempts in
+    flight.
     """
 
     def __init__(self, settings: api.RouterSettings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.ring: list[tuple[int, int]] = []  # point and endpoint, in the order of points
+        self.ring: list[tuple[int, int]] = []  # point and endpoint number, sorted
         self.nodes_on_ring: frozenset[int] = frozenset()
         self.version = 0
 
     def pick(self, request: PolicyRequest, candidates: Sequence[PolicyNode], /) -> PolicyNode:
-        """Walk the ring. The request itself counts, so at least one candidate is under the bound."""
+        """Search the ring. The request counts as load, so at least one candidate is below the bound."""
         self._rebuild_ring()
         max_in_flight = ceil(LOAD_BOUND * (1 + sum(node.in_flight for node in candidates)) / len(candidates))
         usable = {node.endpoint_id: node for node in candidates if node.in_flight < max_in_flight}
@@ -40,7 +41,7 @@
         raise AssertionError("no candidate is on the ring")
 
     def _rebuild_ring(self) -> None:
-        """Follow a change of the list. The points of nodes that stay do not move."""
+        """Update the ring after a change of the endpoint list; nodes that remain keep their points."""
         if self.version == self.membership.version:
             return
         self.version = self.membership.version
--- a/rosepick/lab/policies/choices.py
+++ b/rosepick/lab/policies/choices.py
@@ -1,4 +1,4 @@
-"""Policies that use nothing but the candidates and this router's attempts in flight. All ignore zones."""
+"""Policies that depend only on the candidates and this router's attempts in flight, not on zones."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RandomChoice(BaselinePolicy):
-    """Any cache node, all with the same probability."""
+    """Chooses a random cache node, all with the same probability."""
 
     def pick(self, _request: PolicyRequest, candidates: Sequence[PolicyNode], /) -> PolicyNode:
         """Draw a node."""
@@ -19,12 +19,12 @@
 
 
 class RoundRobin(BaselinePolicy):
-    """Each cache node in its turn, by number."""
+    """Chooses the cache nodes in turn, in the order of their numbers."""
 
     last_endpoint_id: int | None = None
 
     def pick(self, _request: PolicyRequest, candidates: Sequence[PolicyNode], /) -> PolicyNode:
-        """Return the node after the last one. The first is drawn, so that routers are not in step."""
+        """Return the node after the last one; the first is random, so that routers are not synchronized."""
         if self.last_endpoint_id is None:
             node = self.rng.choice(candidates)
         else:
@@ -35,16 +35,19 @@
 
 
 class LeastOutstanding(BaselinePolicy):
-    """The cache node where this router has the fewest attempts in flight."""
+    """Chooses the cache node with the fewest attempts of this router in flight."""
 
     def pick(self, _request: PolicyRequest, candidates: Sequence[PolicyNode], /) -> PolicyNode:
-        """Draw among the least loaded nodes, so that a router with little traffic uses them all."""
+        """Draw one of the least loaded nodes, so that a router with little traffic uses all nodes."""
         least = min(node.in_flight for node in candidates)
         return self.rng.choice([node for node in candidates if node.in_flight == least])
 
 
 class TwoChoices(BaselinePolicy):
-    """The better of two random cache nodes (Mitzenmacher 2001), by this router's attempts in flight."""
+    """Chooses the less loaded of two random cache nodes (Mitzenmacher 2001).
+
+    The load is this router's attempts in flight.
+    """
 
     def pick(self, _request: PolicyRequest, candidates: Sequence[PolicyNode], /) -> PolicyNode:
         """Draw two nodes, and return the one with fewer attempts in flight, the first if they are equal."""
--- a/rosepick/lab/policies/membership.py
+++ b/rosepick/lab/policies/membership.py
@@ -11,13 +11,13 @@
 from ...decisions.api import Mode, Status, UpdateScope
 from .timers import DISCOVERY_TIMER
 
-MIN_DISCOVERY_RETRY_MS = 700.0  # the first delay until a failed subscription is repeated ...
-MAX_DISCOVERY_RETRY_MS = 6_000.0  # ... and the longest, as each delay is twice the one before
+MIN_DISCOVERY_RETRY_MS = 700.0  # first delay after a failed subscription; each further delay is doubled
+MAX_DISCOVERY_RETRY_MS = 6_000.0  # longest delay after a failed subscription
 
 
 @dataclass(slots=True, eq=False)
 class PolicyNode:
-    """One endpoint of the list, and how many attempts of this router are in flight there."""
+    """An endpoint of the list, with the number of this router's attempts in flight at it."""
 
     member: api.Endpoint
     in_flight: int = 0
@@ -30,30 +30,30 @@
 
     @property
     def ready(self) -> bool:
-        """Whether attempts may be sent there."""
+        """Whether attempts may be sent to the node."""
         return self.listed and self.member.status is Status.READY
 
 
 class Membership:
-    """The endpoint list, and the subscription that keeps it fresh. Times are milliseconds."""
+    """The endpoint list, and the subscription that updates it. Times are milliseconds."""
 
     def __init__(self, settings: api.RouterSettings, rng: random.Random) -> None:
         self.settings = settings
         self.rng = rng
         self.nodes: dict[int, PolicyNode] = {}
-        self.caches: Sequence[PolicyNode] = ()  # the ready ones, in the order of their numbers
-        self.origins: Sequence[PolicyNode] = ()
-        self.version = 0  # counts changes
-        self.following = not settings.subscribe
+        self.caches: Sequence[PolicyNode] = ()  # ready cache nodes, by number
+        self.origins: Sequence[PolicyNode] = ()  # ready origins, by number
+        self.version = 0  # number of changes of the list
+        self.is_subscribed = not settings.subscribe
         self.next_subscribe_at = -inf
         self.retry_delay_ms = MIN_DISCOVERY_RETRY_MS
 
     def apply(self, now: float, event: api.EndpointUpdate) -> list[api.Action]:
-        """Apply an event of discovery, and return the actions that it needs."""
+        """Apply an update from discovery, and return the resulting actions."""
         if event.scope is UpdateScope.FAILED:
             return self._on_failure(now)
         if event.scope is not UpdateScope.CACHED:
-            self.following = True
+            self.is_subscribed = True
             self.retry_delay_ms = MIN_DISCOVERY_RETRY_MS
         if event.scope is not UpdateScope.DELTA:
             for node in self.nodes.values():
@@ -66,27 +66,27 @@
         return []
 
     def subscribe(self, now: float) -> list[api.Action]:
-        """Subscribe unless subscribed already or too early, and again if no answer comes."""
-        if self.following or now < self.next_subscribe_at:
+        """Subscribe, unless already subscribed or too early; a timer repeats it if there is no answer."""
+        if self.is_subscribed or now < self.next_subscribe_at:
             return []
         self.next_subscribe_at = now + self.settings.rules.ask_every
         return [api.Watch(True), api.SetTimer(DISCOVERY_TIMER, self.next_subscribe_at)]
 
     def is_origin(self, node: PolicyNode) -> bool:
-        """Return whether a node is an origin; only in aside mode do routers know one."""
+        """Return whether a node is an origin; routers have origins in cache-aside mode only."""
         return self.settings.mode is Mode.ASIDE and node.member.kind == self.settings.origin_kind
 
     def _on_failure(self, now: float) -> list[api.Action]:
         """Keep the list and subscribe again, with exponential backoff and jitter."""
         if not self.settings.subscribe:
             return []
-        self.following = False
+        self.is_subscribed = False
         self.next_subscribe_at = now + self.retry_delay_ms * (0.5 + self.rng.random())
         self.retry_delay_ms = min(MAX_DISCOVERY_RETRY_MS, 2.0 * self.retry_delay_ms)
         return [api.SetTimer(DISCOVERY_TIMER, self.next_subscribe_at)]
 
     def _rebuild_lists(self) -> None:
-        # a removed node stays while it has attempts in flight: their count is needed if it comes back
+        # a removed node is kept while it has attempts in flight: the count is needed if it returns
         self.nodes = {
             number: node
             for number, node in sorted(self.nodes.items())
--- a/rosepick/lab/policies/oracle.py
+++ b/rosepick/lab/policies/oracle.py
@@ -1,4 +1,4 @@
-"""A policy that knows what no router can know: the true present state of every node."""
+"""A policy that uses the actual present state of every node, which real routers cannot observe."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from .membership import PolicyNode
 from .policy_request import PolicyRequest
 
-SLOW_SHARE = 0.5  # of the objective: a node that takes longer is slow, and used only if all are
-HOME_NODES = 3  # nodes that may come to hold a key
+SLOW_SHARE = 0.5  # share of the objective beyond which a node is slow; used only if all nodes are slow
+PREFERRED_NODES = 3  # preferred nodes of each key, by rendezvous order
 
 
 class GroundTruth(Protocol):
-    """The true present state of all nodes. Times are milliseconds."""
+    """The actual present state of all nodes. Times are milliseconds."""
 
     def expected_latency_ms(self, endpoint_id: int, key: int, now: float, /) -> float:
-        """Return how long the work of a read would take at a node; inf if the node cannot do it."""
+        """Return the expected time of a read's work at a node; inf if the node cannot do it."""
 
     def holds_key(self, endpoint_id: int, key: int, /) -> bool:
         """Return whether a node holds a key."""
@@ -28,19 +28,20 @@
 
 
 class Oracle(LeastOutstanding):
-    """The quickest node that holds the key; if none does, or all are slow, the quickest of the key's homes.
+    """Chooses the fastest node that holds the key, or the fastest of the key's preferred nodes.
 
-    It knows the present and not the future, refuses nothing early and gives no attempt up. So it is no upper
-    bound, but shows what knowing the state is worth by itself.
+    A preferred node is chosen if no node holds the key or all holders are slow. The policy has the present
+    state and no predictions, refuses no request early and cancels no attempt. It is therefore no upper bound,
+    but measures the benefit of exact state alone.
     """
 
-    ground_truth: GroundTruth | None = None  # without it the policy is LeastOutstanding
+    ground_truth: GroundTruth | None = None  # None: the policy is LeastOutstanding
 
     def pick(self, request: PolicyRequest, candidates: Sequence[PolicyNode], /) -> PolicyNode:
-        """Return the quickest holder, or the quickest home.
+        """Return the fastest holder, or the fastest preferred node.
 
-        A key has few homes, as each further copy costs a fetch. If no cold node has budget left, all
-        candidates are considered.
+        A key has few preferred nodes, because each further copy costs a fetch. If no candidate accepts a
+        request by its cold budget, all candidates are considered.
         """
         truth = self.ground_truth
         key = request.event.key
@@ -54,12 +55,12 @@
             node.endpoint_id: truth.expected_latency_ms(node.endpoint_id, key, now) for node in usable
         }
         max_latency_ms = SLOW_SHARE * request.request_class.objective_ms
-        quick_nodes = [node for node in usable if latencies[node.endpoint_id] <= max_latency_ms]
-        holders = [node for node in quick_nodes if truth.holds_key(node.endpoint_id, key)]
-        homes = sorted(quick_nodes or usable, key=lambda node: hash64(request.hash_key, node.endpoint_id))[
-            :HOME_NODES
-        ]
+        fast_nodes = [node for node in usable if latencies[node.endpoint_id] <= max_latency_ms]
+        holders = [node for node in fast_nodes if truth.holds_key(node.endpoint_id, key)]
+        preferred_nodes = sorted(
+            fast_nodes or usable, key=lambda node: hash64(request.hash_key, node.endpoint_id)
+        )[:PREFERRED_NODES]
         return min(
-            holders or homes,
+            holders or preferred_nodes,
             key=lambda node: (latencies[node.endpoint_id], hash64(request.hash_key, node.endpoint_id)),
         )
--- a/rosepick/lab/policies/policy_request.py
+++ b/rosepick/lab/policies/policy_request.py
@@ -1,4 +1,4 @@
-"""Requests of a baseline policy, and where and when each may be sent again."""
+"""Requests of a baseline policy, and the rules for where and when each may be repeated."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from ...decisions.api import Effect, Group
 from .membership import PolicyNode
 
-REPEAT_WINDOW_SHARE = 0.9  # of a repeat window that is used: the rest is for the latency
+REPEAT_WINDOW_SHARE = 0.9  # usable share of a repeat window; the rest is a margin for latency
 
 
 @dataclass(slots=True, eq=False)
 class PolicyAttempt:
-    """One attempt of a request."""
+    """An attempt of a request."""
 
     node: PolicyNode
     sent_at: float
     to_origin: bool
     in_flight: bool = True
-    never_ran: bool = False  # it is certain that the request was not executed
+    never_ran: bool = False  # the node certainly did not execute the request
 
 
 @dataclass(slots=True, eq=False)
 class PolicyRequest:
-    """A request from its arrival until its final answer and the end of its last attempt."""
+    """A request, kept from its arrival to its final answer and the end of its last attempt."""
 
     event: api.RequestArrived
     request_class: api.RequestClass
     deadline: float
     at_origin: bool  # the next attempt goes to an origin
     attempts: list[PolicyAttempt] = field(default_factory=list)
-    check_at: float = inf  # when the attempt in flight has had its time, in milliseconds
+    attempt_timeout_at: float = inf  # timeout of the attempt in flight, as a time in milliseconds
     answered: bool = False
 
     @property
@@ -43,7 +43,7 @@
 
     @property
     def hash_key(self) -> int:
-        """What the request is placed by: its key, or its number if it has none."""
+        """The number by which the request is placed: its key, or its own number if it has no key."""
         return self.event.key or self.event.ref
 
     @property
@@ -76,7 +76,10 @@
         )
 
     def nodes_in_repeat_group(self, nodes: Sequence[PolicyNode]) -> Sequence[PolicyNode]:
-        """Return the nodes that detect a repeat: the group of the first attempt that may have run."""
+        """Return the nodes that detect a repeated request.
+
+        These are the nodes in the group of the first attempt that may have been executed.
+        """
         first_attempt = self.first_possible_execution
         request_class = self.request_class
         if (
@@ -91,7 +94,7 @@
         return [node for node in nodes if node.member.cell == first.cell]
 
     def untried_nodes(self, nodes: Sequence[PolicyNode]) -> Sequence[PolicyNode]:
-        """Return the nodes to which the request was not sent yet."""
+        """Return the nodes to which the request was not sent."""
         if not self.attempts:
             return nodes
         tried = {attempt.node.endpoint_id for attempt in self.attempts}
--- a/tests/test_lab_policies.py
+++ b/tests/test_lab_policies.py
@@ -239,7 +239,7 @@
     policy.retry_credit = 0.0
     assert policy.handle(700.0, api.TimerFired(check.token)) == [], "without a retry it is better to wait"
     send_request(policy, 2, write=True)
-    assert policy.requests[2].check_at == inf, "nor is it of use to ask the only origin again"
+    assert policy.requests[2].attempt_timeout_at == inf, "nor is it of use to ask the only origin again"
 
 
 @pytest.mark.parametrize(
