--- a/rosepick/lab/__init__.py
+++ b/rosepick/lab/__init__.py
@@ -1,1 +1,1 @@
-"""A model of the fleet around a router, and experiments on it; no part of `serve`."""
+"""A model of the fleet around a router, and experiments with it; `serve` does not use this package."""
--- a/rosepick/lab/compare.py
+++ b/rosepick/lab/compare.py
@@ -1,4 +1,4 @@
-"""Paired comparison of runs: the same experiment and seed, with one setting changed."""
+"""Compares runs in pairs: the same experiment and seed, with one setting changed."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     "broken_rules": False,
     "fell": False,
 }
-# the 97.5 % quantile of Student's t for 1 to 30 degrees of freedom
+# 97.5 % quantiles of Student's t, for 1 to 30 degrees of freedom
 STUDENT_QUANTILES = (
     12.706,
     4.303,
@@ -57,14 +57,14 @@
     2.045,
     2.042,
 )
-# the same beyond 30, each from that number of degrees of freedom on
+# 97.5 % quantiles beyond 30 degrees of freedom, each with the least degrees of freedom it is used for
 STUDENT_QUANTILES_LARGE = ((120, 1.980), (60, 2.000), (40, 2.021), (30, 2.042))
 COLOURS = {"better": "green", "worse": "bold red", "same": "", "unknown": "yellow"}
 
 
 @dataclass(frozen=True, slots=True)
 class FigureDifference:
-    """Difference of a figure to the first arm, over pairs; None where it is unknown."""
+    """The difference of a figure to the first arm, over pairs; unknown values are None."""
 
     mean: float | None
     error: float | None  # standard error of the mean
@@ -74,25 +74,25 @@
 
 @dataclass(frozen=True, slots=True)
 class FigureComparison:
-    """One figure, compared over all arms."""
+    """The comparison of one figure over all arms."""
 
     name: str
     more_is_better: bool
-    pairs: int  # number of seeds at which every arm has the figure; all values are over these
+    pairs: int  # seeds for which every arm has the figure; all values are over these seeds
     means: dict[str, float | None]  # by arm
     differences: dict[str, FigureDifference]  # by arm, except the first
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """Arms that differ in one setting."""
+    """A comparison of arms, which differ in one setting."""
 
     of: str  # the experiment and the settings that all arms share
     by: str
     arms: tuple[str, ...]
     seeds: tuple[int, ...]
     figures: tuple[FigureComparison, ...]
-    left_out: tuple[str, ...]  # a line for each run that is not counted, with the reason
+    left_out: tuple[str, ...]  # for each run that is not counted, a line with the reason
 
     def as_dict(self) -> dict[str, Any]:
         """Return plain values, for JSON."""
@@ -100,15 +100,15 @@
 
 
 def compare_runs(runs: Iterable[RunResult], by: str = "policy") -> list[Comparison]:
-    """Return a comparison for each set of runs that differ in `by` and the seed only.
+    """Return a comparison for each set of runs that differ only in `by` and the seed.
 
     `by` is `policy`, `revision`, `how` or the dotted name of a setting. The arm of the first run is the first
     arm.
 
-    The interval is by Student's t, not by bootstrap: a sweep has a handful of seeds, and resampling three or
-    five differences gives intervals that are far too narrow, while t allows for small samples. It also needs
-    no random numbers, so the figures depend on the runs alone. Beyond 30 degrees of freedom the table's next
-    lower row is used, which gives a slightly wider interval.
+    Intervals use Student's t and not the bootstrap, because a sweep has few seeds: resampling three or five
+    differences gives intervals that are far too narrow, whereas t allows for small samples. It also needs no
+    random numbers, so the figures depend on the runs alone. Beyond 30 degrees of freedom the next lower row
+    of the table is used, which gives a slightly wider interval.
     """
     groups: dict[str, list[RunResult]] = {}
     for run in runs:
@@ -117,7 +117,7 @@
 
 
 def _comparison_title(run: RunResult, by: str) -> str:
-    """Return what all runs of a comparison share, except the seed."""
+    """Return the experiment and settings that all runs of a comparison share, except the seed."""
     shared = {"policy": run.policy, "how": run.how, "revision": run.revision, **run.changes}
     return " ".join([run.experiment, *(f"{name}={value}" for name, value in shared.items() if name != by)])
 
@@ -139,7 +139,7 @@
 
 
 def _group_by_arm(runs: Sequence[RunResult], by: str) -> tuple[dict[str, dict[int, RunResult]], list[str]]:
-    """Return the runs that count, by arm and seed; and a line for each run that does not."""
+    """Return the counted runs by arm and seed, and a line for each run that is left out."""
     arms: dict[str, dict[int, RunResult]] = {_arm_name(run, by): {} for run in runs}
     left_out: list[str] = []
     for run in runs:
@@ -173,7 +173,7 @@
 
 
 def _figure_value(run: RunResult, name: str) -> float | None:
-    # where nothing was served, the latency of 0 would rank best
+    # without served requests the latency is 0, which would rank best
     if name == "p99_ms" and not run.totals.get("served_share", 0) + run.totals.get("late_share", 0):
         return None
     return run.totals.get(name)
@@ -203,7 +203,7 @@
     return next(quantile for least, quantile in STUDENT_QUANTILES_LARGE if degrees_of_freedom >= least)
 
 
-# ------------------------------------------------------------------------------------------------ as a table
+# ------------------------------------------------------------------------------------------------------ table
 
 
 def comparison_table(comparison: Comparison) -> Table:
@@ -215,7 +215,7 @@
         if figure.pairs < len(comparison.seeds)
     ]
     notes += [f"left out: {line}" for line in comparison.left_out]
-    # Text, so that names are not read as markup
+    # Text prevents that names are parsed as markup
     table = Table(
         title=Text(comparison.of),
         title_justify="left",
@@ -238,7 +238,7 @@
 
 
 def _format_cells(figure: FigureComparison, arm: str) -> list[Text]:
-    """Return the cells of an arm's row; that of the first arm has the mean only."""
+    """Return the cells of an arm's row; the row of the first arm has only the mean."""
     row = [Text(f"  {arm}"), Text(_format_number(figure.means[arm], ".4g"))]
     difference = figure.differences.get(arm)
     if difference is None:
--- a/rosepick/lab/console.py
+++ b/rosepick/lab/console.py
@@ -1,4 +1,4 @@
-"""Output of the lab's commands: progress on a terminal, a run in a few lines, tables."""
+"""Prints the output of the lab's commands: progress, summaries of runs, and tables."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 from .results import RequirementResult, RuleViolation, RunCost, RunResult
 
-_FILE_WIDTH = 120  # columns where the output is no terminal
+_FILE_WIDTH = 120  # columns, if the output is not a terminal
 _CONSOLE = Console(highlight=False, width=None if sys.stdout.isatty() else _FILE_WIDTH)
-_MAX_SHOWN_VIOLATIONS = 5  # broken rules that are listed one by one
+_MAX_SHOWN_VIOLATIONS = 5  # broken rules that are listed for a run
 _TOTALS_COLUMNS = (
     "requests",
     "in time",
@@ -37,7 +37,7 @@
 
 
 def _create_progress_bar() -> Progress:
-    """Return a progress bar on standard error; it is shown on a terminal only."""
+    """Return a progress bar on standard error, which is shown only on a terminal."""
     console = Console(stderr=True)
     columns = (
         TextColumn("{task.description}"),
@@ -51,14 +51,14 @@
 
 @contextmanager
 def progress_bar(name: str) -> Iterator[Callable[[float], None]]:
-    """Show a progress bar; yields a function that sets the part done, 0 to 1."""
+    """Show a progress bar; yield a function that sets the completed share, 0 to 1."""
     with _create_progress_bar() as bar:
         task = bar.add_task(name, total=1.0)
         yield lambda progress: bar.update(task, completed=progress)
 
 
 def print_run(run: RunResult, cost: RunCost) -> None:
-    """Print a run in a few lines."""
+    """Print the totals, requirements, broken rules and cost of a run."""
     _CONSOLE.print(_totals_table(run))
     for requirement in run.must:
         print(_format_requirement(requirement))
--- a/rosepick/lab/demo.py
+++ b/rosepick/lab/demo.py
@@ -1,4 +1,4 @@
-"""`rosepick demo`: a small fleet on this machine, one router, faults, and how the router handles them."""
+"""Implements `rosepick demo`: a small fleet and one router on this machine, with injected faults."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .results import RunResult, Window
 
 SEED = 1
-ROW_LENGTH_S = 5  # seconds that a row of the table covers
+ROW_LENGTH_S = 5  # seconds in a row of the table
 EXPERIMENT = """
 name = "demo"
 length = {seconds}
@@ -69,19 +69,21 @@
 nodes = 1
 down = 2
 """
-# events of the router's log that are shown, with their texts
+# texts for the log events of the router that are shown
 EVENT_TEXTS = {
     "serving": "the router serves on {listen}",
     "decision_message": "the decisions say: {text}",
     "connection_pressure_started": "connections are scarce, some are closed ({reason})",
     "connection_pressure_ended": "connections are no longer scarce",
-    "shutdown_started": "the router is told to end",
-    "shutdown_completed": "the router has ended",
+    "shutdown_started": "the router shuts down",
+    "shutdown_completed": "the router has shut down",
 }
 
 
 def run_demo(seconds: int) -> int:
-    """Play the demo and print it; return the exit status, which is 1 if a rule was broken.
+    """Run the demo and print its progress and results.
+
+    Return the exit status, which is 1 if a rule was broken.
 
     `seconds` is the length of the run.
     """
@@ -93,23 +95,23 @@
     )
     with open_live_run(experiment, SEED) as live_run:
         live_run.set_up()
-        live_run.run_to_end(Narrator(live_run, experiment).on_progress)
+        live_run.run_to_end(ProgressPrinter(live_run, experiment).on_progress)
         run, cost = live_run.result({})
     print()
     _print_table(run)
     console.print_run(run, cost)
-    print("\nMore: docs/lab.md; `rosepick lab run experiments/slow-node.toml` simulates such a day.")
+    print("\nMore: docs/lab.md; `rosepick lab run experiments/slow-node.toml` simulates a slow node.")
     return 1 if run.broken else 0
 
 
 def demo_experiment(seconds: int) -> Experiment:
-    """Return the experiment; faults begin at the same part of the run, whatever its length in seconds."""
+    """Return the experiment of the demo, whose faults begin at fixed shares of its length in seconds."""
     times = {"slow_at": 0.25 * seconds, "slow_for": 0.2 * seconds, "restart_at": 0.65 * seconds}
     return parse_experiment(EXPERIMENT.format(seconds=seconds, **times), "demo")
 
 
-class Narrator:
-    """Prints what happens while it happens: begin and end of faults, and lines of the router's log."""
+class ProgressPrinter:
+    """Prints the progress of a run: begin and end of faults, and events of the router's log."""
 
     def __init__(
         self, live_run: LiveRun, experiment: Experiment, print_line: Callable[[str], None] = print
@@ -119,11 +121,11 @@
         self._run_length_s = experiment.length + max(
             request_class.deadline for request_class in experiment.classes
         )
-        self._read_offset = 0  # bytes of the log that were read
+        self._read_offset = 0  # bytes of the log read so far
         self._pending_messages = sorted(_fault_messages(experiment.troubles))
 
     def on_progress(self, progress: float) -> None:
-        """Print what happened until this part of the run, 0 to 1."""
+        """Print new messages and log events; `progress` is the completed share of the run, 0 to 1."""
         now_s = progress * self._run_length_s
         while self._pending_messages and self._pending_messages[0].at_s <= now_s:
             message = self._pending_messages.pop(0)
@@ -134,7 +136,7 @@
                 self._print_line(f"{now_s:5.1f} s    {text}")
 
     def _read_new_lines(self, path: Path) -> list[str]:
-        """Return the complete lines that were added to a log since the last call."""
+        """Return the complete lines that a log has gained since the last call."""
         try:
             with path.open("rb") as file:
                 file.seek(self._read_offset)
@@ -147,7 +149,7 @@
 
 
 class FaultMessage(NamedTuple):
-    """A text about a fault, and its time in seconds from the start of the run."""
+    """A message about a fault, with its time in seconds from the start of the run."""
 
     at_s: float
     text: str
@@ -164,14 +166,14 @@
 
 
 def _describe_event(line: str) -> str:
-    """Return the text that a log line is shown as; empty if it is not shown."""
+    """Return the text to show for a log line; empty if the line is not shown."""
     fields = parse_record(line)
     template = EVENT_TEXTS.get(fields.get("event", ""))
     return template.format_map({"listen": "", "text": "", "reason": "", **fields}) if template else ""
 
 
 def _print_table(run: RunResult) -> None:
-    """Print what clients received, with a row for every few seconds."""
+    """Print the service that clients received, in rows of `ROW_LENGTH_S` seconds."""
     print("  seconds  requests  in time    p99   origin   nodes up")
     for begin in range(0, len(run.windows), ROW_LENGTH_S):
         windows = run.windows[begin : begin + ROW_LENGTH_S]
--- a/rosepick/lab/experiment.py
+++ b/rosepick/lab/experiment.py
@@ -1,6 +1,6 @@
-"""The experiment file: a fleet, its traffic, a schedule of faults, and requirements; TOML.
+"""Reads experiment files, which describe a fleet, its traffic, faults and requirements in TOML.
 
-Times in the file are seconds unless the name ends in `_ms` or `_us`; the simulator's own clock counts
+Times in the file are seconds unless the name ends in `_ms` or `_us`; the simulator's clock counts
 milliseconds.
 """
 
@@ -33,15 +33,15 @@
     TrafficConfig,
 )
 
-Location = tuple[int | str, ...]  # keys and positions that lead to a value of a document
+Location = tuple[int | str, ...]  # path of keys and positions to a value of a document
 
 
 class Experiment(StrictModel):
-    """An experiment file as a whole; `troubles` are its faults and `must` its requirements."""
+    """A whole experiment file; `troubles` are its faults and `must` its requirements."""
 
     name: str
     seed: Annotated[int, Field(ge=0)] = 1
-    length: PositiveFloat = 60.0  # seconds in which requests come
+    length: PositiveFloat = 60.0  # seconds in which requests arrive
     warm_up: NonNegativeFloat = 5.0  # seconds at the start that are not measured
     mode: Literal["aside", "through"] = "aside"
     zones: Annotated[tuple[str, ...], Field(min_length=1)] = ("east",)
@@ -62,7 +62,7 @@
     must: tuple[RequirementConfig, ...] = ()
     max_attempts: Annotated[int, Field(ge=1, le=5)] = 5
     max_retry_after: NonNegativeFloat = 2.0
-    # longest time until a router stops sending to a node after it was notified that it drains or is gone
+    # longest time until a router stops sending to a node after a notification of its drain or removal
     stop_sending_within: NonNegativeFloat = 0.75
 
     def requirement_span(self, requirement: RequirementConfig) -> tuple[float, float]:
@@ -74,7 +74,7 @@
         return since, self.length if requirement.until is None else requirement.until
 
     def find_errors(self) -> Iterator[str]:
-        """Yield the errors between tables that are valid by themselves."""
+        """Yield the inconsistencies between tables that are valid by themselves."""
         yield from self._find_zone_errors()
         for number, fault in enumerate(self.troubles):
             yield from self._find_fault_errors(number, fault)
@@ -118,11 +118,11 @@
         since, until = self.requirement_span(requirement)
         until = min(until, self.length)
         if ceil(since) >= until:
-            yield f"must[{number}]: no whole second from {since:g} to {until:g} s to judge"
+            yield f"must[{number}]: no whole second from {since:g} to {until:g} s to check"
 
 
 class ExperimentError(ValueError):
-    """An experiment file is invalid; the message has one line for each error, with its place."""
+    """An experiment file is invalid; the message has one line for each error, with its location."""
 
     def __init__(self, errors: tuple[str, ...]) -> None:
         super().__init__("\n".join(errors))
@@ -130,7 +130,7 @@
 
 
 def load_experiment(path: Path, changes: dict[str, Any] | None = None) -> Experiment:
-    """Return the experiment of a file, with `changes` by dotted name.
+    """Return the experiment of a file, after `changes` of values by dotted name.
 
     Raises:
         ExperimentError: the file cannot be read or is invalid.
@@ -144,10 +144,10 @@
 
 
 def parse_experiment(text: str, source_name: str, changes: dict[str, Any] | None = None) -> Experiment:
-    """Return the experiment of a file's text, with `changes` by dotted name.
+    """Return the experiment of a file's text, after `changes` of values by dotted name.
 
     Raises:
-        ExperimentError: names all errors.
+        ExperimentError: the text is invalid; the message names all errors.
     """
     try:
         document = tomllib.loads(text)
@@ -178,7 +178,7 @@
         except ValidationError as error:
             details = [detail for detail in error.errors() if detail["loc"] not in removed]
         locations = {detail["loc"] for detail in details}
-        # a list that is too short because its items are invalid is no error of its own
+        # a list that is too short only because its items are invalid is not reported
         details = [
             detail
             for detail in details
@@ -210,7 +210,7 @@
     """Set one value by its dotted name, such as `traffic.rate` or `troubles.0.by`.
 
     Raises:
-        ExperimentError: there is nothing of this name.
+        ExperimentError: no value has this name.
     """
     *parents, last = name.split(".")
     container: Any = document
--- a/rosepick/lab/experiment_config.py
+++ b/rosepick/lab/experiment_config.py
@@ -1,4 +1,4 @@
-"""The tables of an experiment file, each checked by itself.
+"""The tables of an experiment file, each of which is validated separately.
 
 Times are seconds unless the name ends in `_ms` or `_us`. Field names are the keys of the file.
 """
@@ -16,7 +16,7 @@
 
 
 class StrictModel(BaseModel):
-    """A table of the file: unknown names are errors, and numbers must be finite."""
+    """The base of all tables: unknown names are errors, and numbers must be finite."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, allow_inf_nan=False)
 
@@ -27,28 +27,28 @@
     count: PositiveInt = 12
     zone: str = ""  # empty: distributed evenly over all zones
     cores: PositiveInt = 2
-    speed: PositiveFloat = 1.0  # of each core; 1 does a millisecond of work in a millisecond
+    speed: PositiveFloat = 1.0  # speed of each core; at 1 a millisecond of work takes a millisecond
     speed_spread: Share = 0.0  # each node's speed is drawn from speed * (1 - spread) to speed * (1 + spread)
     slots: PositiveInt = 16  # requests processed at the same time; they share the cores
-    queue: Annotated[int, Field(ge=0)] = 32  # requests that wait for a slot; more are refused
-    crowding: NonNegativeFloat = 0.0  # part by which each request beyond the cores slows all work
+    queue: Annotated[int, Field(ge=0)] = 32  # requests that wait for a slot; further ones are refused
+    crowding: NonNegativeFloat = 0.0  # share by which each request beyond the cores slows all work
     memory: PositiveInt = 2_000_000  # bytes of values
     eviction: Literal["lru", "fifo"] = "lru"
     keep: NonNegativeFloat = 0.0  # lifetime of a value; 0: unlimited
-    connections: PositiveInt = 1024  # open at the same time; more are refused
+    connections: PositiveInt = 1024  # open at the same time; further ones are refused
     handshake_ms: NonNegativeFloat = 0.5  # work for a new connection
-    miss_ms: NonNegativeFloat = 0.2  # work to find that a key is missing
-    cold_from: Annotated[float, Field(gt=0, le=1)] = 0.12  # part of its capacity when it starts
+    miss_ms: NonNegativeFloat = 0.2  # work to detect that a key is missing
+    cold_from: Annotated[float, Field(gt=0, le=1)] = 0.12  # share of its capacity when it starts
     warm_after: NonNegativeFloat = 24.0  # until full capacity: seconds, or seconds of work of one core
     warm_by: Literal["time", "work"] = "time"
-    falls_at: PositiveFloat = 3.0  # work sent to a cold node, over its capacity, that overloads it ...
-    falls_within: PositiveFloat = 3.0  # ... within this time
-    born: float = -1000.0  # when it started; if later than -warm_after it is cold at first
+    falls_at: PositiveFloat = 3.0  # a cold node crashes at this ratio of work sent to its capacity
+    falls_within: PositiveFloat = 3.0  # window over which `falls_at` is computed
+    born: float = -1000.0  # start time; a node that started after -warm_after is cold at first
     cancels: bool = True  # whether abandoned work stops
 
 
 class OriginConfig(StrictModel):
-    """The origin, which holds every value; its capacity is limited, and load makes it slower."""
+    """The origin, which holds every value; its capacity is limited, and load slows it down."""
 
     cores: PositiveInt = 8
     speed: PositiveFloat = 1.0
@@ -57,22 +57,22 @@
     crowding: NonNegativeFloat = 0.01
     connections: PositiveInt = 4096
     handshake_ms: NonNegativeFloat = 0.5
-    zone: str = ""  # empty: the first one
+    zone: str = ""  # empty: the first zone
     cancels: bool = False  # whether abandoned work stops
-    falls_when: NonNegativeFloat = 0.0  # seconds with a full queue after which it fails; 0: never
-    down_for: PositiveFloat = 5.0  # seconds until it is back
+    falls_when: NonNegativeFloat = 0.0  # seconds with a full queue after which the origin crashes; 0: never
+    down_for: PositiveFloat = 5.0  # seconds until the origin is back after a crash
 
 
 class DiscoveryConfig(StrictModel):
     """The discovery service, which sends endpoint lists to the routers."""
 
-    delay: NonNegativeFloat = 0.5  # until it knows a change
-    delay_spread: Share = 0.5
-    call_ms: NonNegativeFloat = 2.0  # time for a call
-    line_ms: NonNegativeFloat = 0.01  # additional time for each line of the list
+    delay: NonNegativeFloat = 0.5  # time until discovery learns of a change
+    delay_spread: Share = 0.5  # the delay is drawn from delay * (1 - spread) to delay * (1 + spread)
+    call_ms: NonNegativeFloat = 2.0  # time to handle a call
+    line_ms: NonNegativeFloat = 0.01  # additional time for each endpoint in the call
     stale_by: NonNegativeFloat = 0.0  # age of the list that routers start with
     watch: bool = True
-    # longest wait of a call in the queue, after which it fails; 0: unlimited
+    # longest wait of a subscription in the queue, after which it fails; 0: unlimited
     patience_ms: NonNegativeFloat = 0.0
 
 
@@ -81,12 +81,12 @@
 
     within_ms: NonNegativeFloat = 0.2
     across_ms: NonNegativeFloat = 1.0
-    jitter: Share = 0.2  # part of the latency, drawn for each message
-    breaks: Share = 0.0  # part of attempts whose connection breaks after they were sent
+    jitter: Share = 0.2  # largest deviation as a share of the latency, drawn for each message
+    breaks: Share = 0.0  # share of attempts that lose their connection after they were sent
 
 
 class RequestClassConfig(StrictModel):
-    """A class of requests."""
+    """A request class."""
 
     name: str
     share: PositiveFloat = 1.0
@@ -105,32 +105,32 @@
 
 
 class TenantConfig(StrictModel):
-    """A tenant."""
+    """A tenant, with its share of the service and of the traffic."""
 
     name: str
     share: PositiveFloat = 1.0  # agreed share of the service
-    traffic: PositiveFloat | None = None  # share of the requests; that of the service if it is missing
+    traffic: PositiveFloat | None = None  # share of the requests; None: the same as `share`
 
 
 class KeysConfig(StrictModel):
-    """The keys of requests."""
+    """The keys of requests and their popularity."""
 
     count: PositiveInt = 10_000
     zipf: NonNegativeFloat = 0.9  # a key's popularity is proportional to rank ** -zipf
-    drift: NonNegativeFloat = 0.0  # ranks that are swapped per second
+    drift: NonNegativeFloat = 0.0  # pairs of keys that swap their ranks, per second
 
 
 class ClientsConfig(StrictModel):
-    """How clients behave after a refusal or failure."""
+    """The behaviour of clients after a refusal or failure."""
 
     retries: Annotated[int, Field(ge=0, le=10)] = 1
     manner: Literal["obey", "ignore", "at once", "in step"] = "obey"
-    # when they retry: obey: after Retry-After, if there is one, else like ignore; ignore: after `pause`,
-    # drawn; at once: immediately; in step: at the next whole second
+    # time of a retry; obey: after Retry-After, or like ignore without one; ignore: after a random delay
+    # around `pause`; at once: immediately; in step: at the next whole second
     pause: NonNegativeFloat = 0.3
-    leave: Share = 0.0  # part of requests that clients abandon before the deadline
-    marked: bool = False  # whether retries are marked as such
-    one_shot: Share = 0.0  # live only: part of requests on a new connection that stays open and idle
+    leave: Share = 0.0  # share of requests that clients abandon before the deadline
+    marked: bool = False  # whether retries carry the retry mark
+    one_shot: Share = 0.0  # live only: share of requests on a new connection that stays open and idle
 
 
 class TrafficConfig(StrictModel):
@@ -140,7 +140,7 @@
     arrivals: Literal["poisson", "regular", "bursts", "daily", "trace"] = "poisson"
     burst: Annotated[int, Field(ge=1)] = 20  # for bursts: requests that arrive together
     period: PositiveFloat = 60.0  # for daily: seconds of a day
-    swing: Annotated[float, Field(ge=0, lt=1)] = 0.5  # for daily: amplitude, as a part of the rate
+    swing: Annotated[float, Field(ge=0, lt=1)] = 0.5  # for daily: amplitude, as a share of the rate
     trace: str = ""  # a file with a line per request: seconds, class, key, and the tenant if there are any
 
 
@@ -149,12 +149,12 @@
 
     count: PositiveInt = 3
     skew: NonNegativeFloat = 0.0  # traffic of router n is proportional to (n + 1) ** -skew
-    heavy: Share = 0.0  # part of the routers that have ...
-    heavy_by: PositiveFloat = 4.0  # ... a multiple of the others' traffic: this one
-    cores: PositiveFloat = 1.0  # of each router; simulated only, like the next three
-    request_us: NonNegativeFloat = 0.0  # CPU time of a request
-    attempt_us: NonNegativeFloat = 0.0  # CPU time of the end of an attempt
-    start_ms: NonNegativeFloat = 0.0  # CPU time of a start, before it serves
+    heavy: Share = 0.0  # share of the routers that have more traffic
+    heavy_by: PositiveFloat = 4.0  # factor on the traffic of those routers
+    cores: PositiveFloat = 1.0  # simulated only: cores of each router
+    request_us: NonNegativeFloat = 0.0  # simulated only: CPU time of a request
+    attempt_us: NonNegativeFloat = 0.0  # simulated only: CPU time of the end of an attempt
+    start_ms: NonNegativeFloat = 0.0  # simulated only: CPU time of a start, before the router serves
     memory_mb: PositiveInt = 192  # live only
     sockets: PositiveInt = 1024  # live only
 
@@ -196,19 +196,19 @@
     kind: FaultKind
     at: NonNegativeFloat
     last: Annotated[NonNegativeFloat, Field(alias="for")] = 0.0
-    nodes: Annotated[int, Field(ge=1)] | None = None  # number of cache nodes, drawn at random ...
-    part: Share | None = None  # ... or the part of them
-    zone: str = ""  # restricts it to this zone
-    zones: tuple[str, str] | None = None  # cut: the two zones that cannot reach each other
-    by: PositiveFloat = 5.0  # factor of slowness or traffic; stale, discovery_slow: additional seconds
-    # flash: part of reads for one key; hang, reset, garbage, drip: part of attempts; patch, agreed: part of
-    # nodes that may be out; discovery_busy: part of calls that discovery turns away
+    nodes: Annotated[int, Field(ge=1)] | None = None  # number of affected cache nodes, drawn at random
+    part: Share | None = None  # share of affected nodes, as an alternative to `nodes` or `routers`
+    zone: str = ""  # restricts the fault to this zone
+    zones: tuple[str, str] | None = None  # cut: the two zones that are partitioned
+    by: PositiveFloat = 5.0  # factor on latency or traffic; stale, discovery_slow: additional seconds
+    # flash: share of reads for one key; hang, reset, garbage, drip: share of attempts; patch, agreed: share
+    # of nodes that may be out; discovery_busy: share of calls that discovery rejects
     share: Share = 0.2
-    down: NonNegativeFloat = 1.0  # restart, router_restart: seconds until it is back
-    manner: Literal["alone", "one", "fixed", "agreed"] = "agreed"  # patch: how restarts are ordered
+    down: NonNegativeFloat = 1.0  # restart, router_restart, patch: seconds until the process starts again
+    manner: Literal["alone", "one", "fixed", "agreed"] = "agreed"  # patch: order of the restarts
     most: Annotated[int, Field(ge=1)] = 1  # patch, fixed: nodes restarted at a time
-    # router_kill, router_restart: number of routers, or a `part` of them; restarts are spread over the time
-    # of the fault, a tenth at a time
+    # router_kill, router_restart: number of routers, as an alternative to `part`; restarts are spread over
+    # the duration of the fault, a tenth of the routers at a time
     routers: Annotated[int, Field(ge=1)] | None = None
 
 
@@ -233,17 +233,16 @@
 
 
 class RequirementConfig(StrictModel):
-    """Bounds of a figure over a span of the run."""
+    """Bounds of a figure over a time span of the run."""
 
     what: FigureName
     least: float | None = None
     most: float | None = None
-    after: Annotated[int, Field(ge=1)] | None = (
-        None  # number of a fault, from 1: the span starts at its end ...
-    )
-    within: NonNegativeFloat = 0.0  # ... and this much later
-    since: NonNegativeFloat | None = None
-    until: NonNegativeFloat | None = None
+    # number of a fault, from 1: the span starts `within` seconds after its end
+    after: Annotated[int, Field(ge=1)] | None = None
+    within: NonNegativeFloat = 0.0
+    since: NonNegativeFloat | None = None  # start of the span; None: the end of the warm-up
+    until: NonNegativeFloat | None = None  # end of the span; None: the end of the run
 
     @model_validator(mode="after")
     def _bounded(self) -> RequirementConfig:
--- a/rosepick/lab/grid.py
+++ b/rosepick/lab/grid.py
@@ -1,4 +1,4 @@
-"""The grid of a sweep: cells from terms such as `traffic.rate=100,200` and `seed=1..5`."""
+"""Parses the grid of a sweep from terms such as `traffic.rate=100,200` and `seed=1..5`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class GridError(ValueError):
-    """Terms that do not form a grid; the message has one line for each error."""
+    """Terms do not form a grid; the message has one line for each error."""
 
     def __init__(self, errors: tuple[str, ...]) -> None:
         super().__init__("\n".join(errors))
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GridCell:
-    """One run of a grid; None stands for the policy or seed of the experiment itself."""
+    """One run of a grid; a policy or seed of None is that of the experiment."""
 
     changes: dict[str, Any]
     policy: str | None = None
@@ -42,7 +42,7 @@
     """Return the cells of terms such as `policy=rosepick,random`; the last term changes fastest.
 
     Raises:
-        GridError: names all invalid terms.
+        GridError: terms are invalid; the message names all of them.
     """
     axes: dict[str, list[Any]] = {}
     errors: list[str] = []
@@ -63,7 +63,7 @@
 
 
 def _parse_term(term: str) -> tuple[str, list[Any]]:
-    """Return name and values of a term.
+    """Return the name and values of a term.
 
     Raises:
         ValueError: the term is invalid.
@@ -77,7 +77,7 @@
     if not all(texts):
         raise ValueError("has an empty value")
     pieces = [_parse_value(text) for text in texts]
-    # counted before a range is expanded
+    # checked before ranges are expanded
     if sum(len(piece) for piece in pieces) > MAX_CELLS:
         raise ValueError(f"has more than {MAX_CELLS} values")
     values = list(chain.from_iterable(pieces))
@@ -91,7 +91,7 @@
 
 
 def _parse_value(text: str) -> Sequence[Any]:
-    """Return a range, else the single value that the text is in TOML, else the text itself."""
+    """Parse a text as a range or as a single TOML value; if it is neither, it is its own value."""
     if match := _RANGE.fullmatch(text):
         first, last = (int(bound) for bound in match.groups())
         if last < first:
--- a/rosepick/lab/log_terms.py
+++ b/rosepick/lab/log_terms.py
@@ -1,6 +1,6 @@
-"""The names that log events and fields had before 0.3.0, and what they are called now.
+"""Maps the names of log events and fields before 0.3.0 to the present names.
 
-Whatever reads logs goes through `parse_record`, so that it knows today's names only and still reads the logs
+All readers of logs use `parse_record`, so that they need only the present names and can still read the logs
 of older routers.
 """
 
@@ -34,7 +34,7 @@
     "lab.live.discovery": "lab.live.discovery_server",
     "lab.live.nodes": "lab.live.node_server",
 }
-"""The `part` field, by its old name."""
+"""Present values of the `part` field, by old value."""
 EVENTS = {
     "witness_started": "replica_started",
     "witness_unreadable": "request_decode_failed",
@@ -97,7 +97,7 @@
     "lease_waits": "lease_waiting",
     "lease_holds": "lease_held",
 }
-"""Events, by their old names."""
+"""Present names of events, by old name."""
 FIELDS = {
     "replica_started": {"storage": "storage_id", "starts": "start_count", "votes": "is_voting"},
     "request_decode_failed": {"why": "reason"},
@@ -161,7 +161,7 @@
     "upstream_fault": {"server": "endpoint"},
     "invariant_violated": {"server": "endpoint"},
 }
-"""For each event, by its name of today: fields, by their old names."""
+"""Present names of fields, by present event name and old field name."""
 ATTEMPT_RESULTS = {
     "full": "busy",
     "moot": "never_sent",
@@ -169,13 +169,13 @@
     "unfit": "invalid",
     "spoilt": "malformed",
 }
-"""What follows `attempt_` in `counters`, by its old name."""
+"""Present suffixes of `attempt_` fields in `counters`, by old suffix."""
 OUTCOMES = {
     "late": "deadline_exceeded",
     "gone": "client_gone",
     "broke": "internal_error",
 }
-"""Outcomes of requests in `request_outcomes`, by their old names."""
+"""Present names of request outcomes in `request_outcomes`, by old name."""
 OUTCOME_CAUSES = {
     "crowded": "overloaded",
     "slow": "too_slow",
@@ -185,7 +185,7 @@
     "spent": "body_consumed",
     "unfit": "invalid",
 }
-"""What follows an outcome, by its old name."""
+"""Present names of the cause that follows an outcome, by old name."""
 CONNECTION_KINDS = {
     "asking": "active",
     "fresh": "unused",
@@ -193,7 +193,7 @@
     "often": "reused",
     "half": "partial_requests",
 }
-"""Kinds of connections, by their old names."""
+"""Present names of connection kinds, by old name."""
 CLOSE_REASONS = {
     "client": "client_closed",
     "broke": "connection_lost",
@@ -210,18 +210,18 @@
     "fault": "internal_error",
     "ending": "shutdown",
 }
-"""What follows `closed_`, by its old name."""
+"""Present suffixes of `closed_` fields, by old suffix."""
 DESCRIPTOR_USES = {
     "doors": "downstream",
     "next_hops": "upstream",
     "batches": "batch",
     "discovery": "discovery",
 }
-"""What followed `sockets_`, and follows `descriptors_` now."""
+"""Present suffixes of `descriptors_` fields, by the old suffix of `sockets_` fields."""
 
 
 def parse_record(line: str) -> dict[str, str]:
-    """Return the fields of a log line, an old or a new one, under their names of today."""
+    """Return the fields of a log line of any version, under their present names."""
     fields = parse_log_fields(line)
     if "event" not in fields:
         return fields
@@ -233,13 +233,13 @@
 
 
 def line_has_event(line: str, event: str) -> bool:
-    """Return whether a log line, an old or a new one, is of an event, given by its name of today."""
+    """Return whether a log line of any version is of an event, given by its present name."""
     match = _EVENT_PATTERN.search(line)
     return match is not None and EVENTS.get(match[1], match[1]) == event
 
 
 def _field_name(event: str, name: str) -> str:
-    """Return the name of today of a field, given the event's name of today."""
+    """Return the present name of a field, for an event given by its present name."""
     if name == "held_back":
         return "suppressed"
     renamed = FIELDS.get(event, {}).get(name)
@@ -261,7 +261,7 @@
 
 
 def _outcome_field(name: str) -> str:
-    """Return the name of a count of requests, or of their milliseconds: `late_rules_ms` was one."""
+    """Return the present name of a count or duration of requests, such as the old `late_rules_ms`."""
     unit = "_ms" if name.endswith("_ms") else ""
     outcome, separator, cause = name.removesuffix("_ms").partition("_")
     if outcome not in ("served", "refused", "failed", *OUTCOMES):
@@ -270,7 +270,7 @@
 
 
 def _connection_field(name: str) -> str:
-    """Return the name of a count of connections or descriptors."""
+    """Return the present name of a count of connections or descriptors."""
     prefix, _, rest = name.partition("_")
     if prefix == "closed":
         return "closed_" + CLOSE_REASONS.get(rest, rest)
--- a/rosepick/lab/measure.py
+++ b/rosepick/lab/measure.py
@@ -1,7 +1,7 @@
-"""Measurements of a run, simulated or live: requests by second, class and tenant, latencies, loads.
+"""Measures a simulated or live run: requests by second, class and tenant, latencies, and loads.
 
-A request is a client's first try with its retries: its latency counts from when it was due, and it is served
-if any of its tries was. Times are milliseconds here, seconds in the results.
+A request is a client's first try with its retries. Its latency is measured from its due time, and it is
+served if any of its tries is served. Times are milliseconds here and seconds in the results.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
     source_revision,
 )
 
-MAX_LATENCY_MS = 600_000  # histograms end at ten minutes
+MAX_LATENCY_MS = 600_000  # largest latency of a histogram: ten minutes
 PERCENTILES = (50.0, 75.0, 90.0, 95.0, 99.0, 99.5, 99.9, 99.99)
 OUTCOMES = ("in_time", "late", "refused", "failed", "left")
 SECOND_MS = 1_000.0
 
 
-def _histogram() -> HdrHistogram:
+def _create_histogram() -> HdrHistogram:
     """Return a histogram of hundredths of a millisecond, with two significant digits."""
     return HdrHistogram(1, MAX_LATENCY_MS * 100, 2)
 
 
 @dataclass(frozen=True, slots=True)
 class MeasuredRequest:
-    """A client's request, as it is measured."""
+    """The properties of a client's request that are measured."""
 
     due_ms: float
     class_name: str
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class SecondCounts:
-    """Counts of one second."""
+    """Counts and loads of one second of a run."""
 
     counts: Counter[str] = field(default_factory=Counter)
     worth_offered: float = 0.0
@@ -67,10 +67,10 @@
     def __init__(self) -> None:
         self.offered = 0
         self.in_time = 0
-        self.times = _histogram()
+        self.times = _create_histogram()
 
     def summarize(self) -> GroupSummary:
-        """Return them as a part of the run's result."""
+        """Return the summary for the run's result."""
         return GroupSummary(
             self.offered,
             _share(self.in_time, self.offered),
@@ -85,7 +85,7 @@
     def __init__(self, experiment: Experiment) -> None:
         self.experiment = experiment
         self.seconds = [SecondCounts() for _ in range(int(-(-experiment.length // 1)))]
-        self.times = _histogram()
+        self.times = _create_histogram()
         self.classes = {config.name: GroupMeasure() for config in experiment.classes}
         self.tenants = {config.name: GroupMeasure() for config in experiment.tenants}
         self.violations: list[RuleViolation] = []
@@ -93,7 +93,7 @@
         self.cold_overloads = 0
 
     def second_at(self, now: float) -> SecondCounts:
-        """Return the counts of the second that a time is in; times beyond the end count in the last one."""
+        """Return the counts of the second of a time; times after the end are in the last second."""
         return self.seconds[max(0, min(len(self.seconds) - 1, int(now // SECOND_MS)))]
 
     def count_event(self, now: float, event: str) -> None:
@@ -101,7 +101,7 @@
         self.second_at(now).counts[event] += 1
 
     def record_offered(self, request: MeasuredRequest) -> None:
-        """Record that a request was due."""
+        """Record a request that was due."""
         second = self.second_at(request.due_ms)
         second.counts["offered"] += 1
         second.worth_offered += request.worth
@@ -112,7 +112,7 @@
     def record_ended(self, request: MeasuredRequest, outcome: str, elapsed_ms: float) -> None:
         """Record the end of a request.
 
-        `outcome` is one of `OUTCOMES`; `elapsed_ms` is counted from when the request was due.
+        `outcome` is one of `OUTCOMES`; `elapsed_ms` is the time since the request was due.
         """
         second = self.second_at(request.due_ms)
         second.counts[outcome] += 1
@@ -147,9 +147,12 @@
     def build_result(
         self, seed: int, mode: str, policy: str, changes: dict[str, object], void: str = ""
     ) -> RunResult:
-        """Return the result of the run; `mode` is `sim` or `live`, `void` why the run is invalid."""
+        """Return the result of the run.
+
+        `mode` is `sim` or `live`; `void` is the reason why the run is invalid, empty if it is valid.
+        """
         experiment = self.experiment
-        windows = [_window(n, second) for n, second in enumerate(self.seconds)]
+        windows = [_build_window(n, second) for n, second in enumerate(self.seconds)]
         return RunResult(
             experiment=experiment.name,
             policy=policy,
@@ -172,9 +175,9 @@
         )
 
     def figures(self, since: float, until: float) -> dict[str, float]:
-        """Return all figures over a span, in seconds from the start of the run.
+        """Return all figures over a span, which is in seconds from the start of the run.
 
-        Whole seconds count, those that begin within the span.
+        The whole seconds that begin within the span count.
         """
         seconds = self.seconds[ceil(since) : ceil(until)]
         total: Counter[str] = Counter()
@@ -218,7 +221,7 @@
         )
 
 
-def _window(at: int, second: SecondCounts) -> Window:
+def _build_window(at: int, second: SecondCounts) -> Window:
     counts = second.counts
     times = sorted(second.served_times_ms)
     return Window(
@@ -256,7 +259,7 @@
 
 
 def _quantile(sorted_values: list[float], q: float) -> float:
-    """Return the measured value at the quantile or next above it."""
+    """Return the measured value at a quantile, or the next larger one."""
     if not sorted_values:
         return 0.0
     return round(sorted_values[min(len(sorted_values) - 1, int(q * len(sorted_values)))], 2)
--- a/rosepick/lab/paper.py
+++ b/rosepick/lab/paper.py
@@ -1,6 +1,6 @@
-"""Tables of the source paper's scenario, by its formulas and by simulation, beside the paper's own figures.
+"""Prints the source paper's scenario by formulas and by simulation, next to the paper's figures.
 
-The scenario: which requests stay at the Fog, by chance, by popularity, or by an LRU list.
+In the scenario a policy decides which requests stay at the Fog: at random, by popularity, or by an LRU list.
 Source: M. Enguehard, G. Carofiglio, D. Rossi, "A popularity-based approach for effective Cloud offload in Fog
 deployments", 2018. `docs/lab-theory.md` has the results.
 """
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, replace
 
 from .paper_model import (
-    BLIND_POLICY,
+    EXTRA_COST_LRU_POLICY,
     LFU_POLICY,
     LRU_POLICY,
     PAPER_SITE,
-    ROOMY_LRU_POLICY,
+    RANDOM_POLICY,
     PaperSite,
     RankGroups,
     predict,
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PaperFigures:
-    """Figures that the paper prints for a policy, at 2000 requests per second unless noted."""
+    """Figures of the paper for a policy, at 2000 requests per second."""
 
     setting: str
     cost: str
@@ -38,15 +38,15 @@
 
 
 PAPER_FIGURES = {
-    BLIND_POLICY: PaperFigures("0.42", "3.4", "42%", "0.0030"),
+    RANDOM_POLICY: PaperFigures("0.42", "3.4", "42%", "0.0030"),
     LFU_POLICY: PaperFigures("610000", "0.95", "84.4%", "0.00079"),
     LRU_POLICY: PaperFigures("1300000", "0.97", "84.0%", "0.00095", "4%", "several s"),
-    ROOMY_LRU_POLICY: PaperFigures("730000", "1.21", over_share="0.02%", longest="0.5 s"),
+    EXTRA_COST_LRU_POLICY: PaperFigures("730000", "1.21", over_share="0.02%", longest="0.5 s"),
 }
 
 
 def format_predictions(site: PaperSite) -> Iterator[str]:
-    """Yield the lines of a table: each policy's best setting, and the paper's figures beside it."""
+    """Yield the lines of a table of each policy's best setting, next to the paper's figures."""
     ranks = RankGroups(site)
     _, usual_rate, high_rate = REQUEST_RATES
     yield f"Formulas, exponent {site.skew:g}; each figure with the paper's own after it"
@@ -60,7 +60,7 @@
         predicted = predict(site, ranks, usual_rate, setting)
         high_cost = predict(site, ranks, high_rate, high_setting).cost
         slope = (high_cost - predicted.cost) / (high_rate - usual_rate)
-        value = f"{setting.value:.3f}" if policy == BLIND_POLICY else f"{setting.value:.0f}"
+        value = f"{setting.value:.3f}" if policy == RANDOM_POLICY else f"{setting.value:.0f}"
         yield (
             f"{policy:16}{value:>10}{printed.setting:>10}{predicted.fog_share:>11.1%}{printed.fog_share:>7}"
             f"{predicted.cost:>6.2f}{printed.cost:>7}{slope:>11.5f}{printed.by_rate:>9}"
@@ -83,7 +83,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Print the tables; the simulation takes some minutes."""
+    """Print the tables; the simulation takes several minutes."""
     parser = argparse.ArgumentParser(
         prog="python -m rosepick.lab.paper", description="The source paper's scenario, beside its figures."
     )
--- a/rosepick/lab/paper_model.py
+++ b/rosepick/lab/paper_model.py
@@ -1,4 +1,4 @@
-"""The source paper's formulas: latency and cost of a Fog and Cloud deployment, and the cheapest settings.
+"""The source paper's formulas for latency, cost and cheapest settings of a Fog and Cloud deployment.
 
 Source: M. Enguehard, G. Carofiglio, D. Rossi, "A popularity-based approach for effective Cloud offload in Fog
 deployments", 2018.
@@ -17,15 +17,15 @@
 from . import theory
 from .theory import FloatArray
 
-BLIND_POLICY = "blind"
+RANDOM_POLICY = "blind"  # the paper's name: requests stay at the Fog at random
 LFU_POLICY = "LFU"
 LRU_POLICY = "LRU"
-ROOMY_LRU_POLICY = "LRU, +25% cost"
-POLICIES = (BLIND_POLICY, LFU_POLICY, LRU_POLICY, ROOMY_LRU_POLICY)
-ROOMY_COST_FACTOR = 1.25
-BISECTION_STEPS = 30  # halvings of a setting's range
-RANK_GROUP_RATIO = 1.03  # ranks up to this ratio form a group
-CLOUD_CACHE_SIZES = 40  # sizes that are tried, each 10 ** -0.1 of the one before
+EXTRA_COST_LRU_POLICY = "LRU, +25% cost"
+POLICIES = (RANDOM_POLICY, LFU_POLICY, LRU_POLICY, EXTRA_COST_LRU_POLICY)
+EXTRA_COST_FACTOR = 1.25  # cost of `EXTRA_COST_LRU_POLICY`, as a multiple of the cheapest
+BISECTION_STEPS = 30  # times that the range of a setting is halved
+RANK_GROUP_RATIO = 1.03  # largest ratio of the ranks in a group
+CLOUD_CACHE_SIZES = 40  # sizes to try, each 10 ** -0.1 times the previous one
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     """The paper's example application and deployment, from its Table IV."""
 
     keys: int = 10_000_000
-    skew: float = 1.01  # the paper states 1, but its figures are of this value: docs/lab-theory.md
+    skew: float = 1.01  # the paper states 1, but its figures match this value: docs/lab-theory.md
     fog_cache: int = 100_000  # values; 1 GB of 10 KB each
     access_delay_ms: float = 2.0  # one way
     core_delay_ms: float = 20.0
@@ -49,7 +49,7 @@
     compute_price: float = 0.033174  # dollars per core and hour
 
     def cost(self, rate: float, to_cloud: float, cloud_misses: float, cloud_cache: float) -> float:
-        """Return the cost of an hour in dollars.
+        """Return the cost of one hour in dollars.
 
         `rate` is in requests per second, `to_cloud` the share of requests that go to the Cloud,
         `cloud_misses` the share that miss its cache, and `cloud_cache` the values that fit into it.
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicySetting:
-    """The setting of a policy."""
+    """A policy with its parameters."""
 
     policy: str
     value: float  # probability of staying at the Fog (blind), else a number of keys
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PredictedResult:
-    """What the paper's formulas predict for a setting."""
+    """The prediction of the paper's formulas for a setting."""
 
     fog_share: float
     hit_share: float  # of the requests at the Fog
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficShares:
-    """Shares of all requests."""
+    """Shares of all requests that go to Fog and Cloud and miss their caches."""
 
     to_fog: float
     fog_misses: float
@@ -97,9 +97,9 @@
 
 
 class RankGroups:
-    """Keys in order of popularity, grouped where it is nearly the same.
+    """Keys in order of popularity, in groups of nearly the same popularity.
 
-    For each group: the first rank, the number of keys, and the popularity of one key.
+    Arrays hold, for each group, its first rank, its number of keys, and the popularity of one key.
     """
 
     def __init__(self, site: PaperSite) -> None:
@@ -116,7 +116,7 @@
 
     def fog_probability(self, setting: PolicySetting) -> FloatArray:
         """Return the probability that a request stays at the Fog, by group of its key."""
-        if setting.policy == BLIND_POLICY:
+        if setting.policy == RANDOM_POLICY:
             return np.full_like(self.first_rank, setting.value)
         if setting.policy == LFU_POLICY:
             return np.asarray(np.clip((setting.value - self.first_rank) / self.group_size, 0.0, 1.0))
@@ -151,8 +151,8 @@
 def _response_time_ms(site: PaperSite, rate_per_ms: float, shares: TrafficShares) -> float:
     """Return mean plus standard deviation of the response time.
 
-    As in the paper, the deviation is that of the queues only: the difference between the ways through Fog
-    and Cloud does not count.
+    As in the paper, the deviation includes the queues only, not the difference between the paths through Fog
+    and Cloud.
     """
     queues = (  # share of all requests, mean work of each
         (shares.fog_misses, site.raw_send_ms),
@@ -177,40 +177,40 @@
 def tune_setting(site: PaperSite, ranks: RankGroups, rate: float, policy: str) -> PolicySetting:
     """Return the cheapest setting that meets the target, as in the paper's optimisation.
 
-    `ROOMY_LRU_POLICY` has an LRU list that is shorter than necessary, at `ROOMY_COST_FACTOR` times the cost.
+    `EXTRA_COST_LRU_POLICY` has a shorter LRU list than necessary, at `EXTRA_COST_FACTOR` times the cost.
     """
-    if policy == ROOMY_LRU_POLICY:
-        return _tune_roomy_setting(site, ranks, rate)
+    if policy == EXTRA_COST_LRU_POLICY:
+        return _tune_extra_cost_setting(site, ranks, rate)
     without_cloud_cache = _largest_setting(site, ranks, rate, PolicySetting(policy, 0.0))
     sizes = [0, *(int(site.keys * 10 ** (-n / 10)) for n in range(CLOUD_CACHE_SIZES))]
-    best_size = min(
+    cheapest_size = min(
         sizes,
         key=lambda size: predict(site, ranks, rate, replace(without_cloud_cache, cloud_cache=size)).cost,
     )
-    return _largest_setting(site, ranks, rate, PolicySetting(policy, 0.0, best_size))
+    return _largest_setting(site, ranks, rate, PolicySetting(policy, 0.0, cheapest_size))
 
 
-def _tune_roomy_setting(site: PaperSite, ranks: RankGroups, rate: float) -> PolicySetting:
+def _tune_extra_cost_setting(site: PaperSite, ranks: RankGroups, rate: float) -> PolicySetting:
     best = tune_setting(site, ranks, rate, LRU_POLICY)
-    budget = ROOMY_COST_FACTOR * predict(site, ranks, rate, best).cost
-    value = _bisect_edge(
+    budget = EXTRA_COST_FACTOR * predict(site, ranks, rate, best).cost
+    value = _largest_valid_value(
         best.value, lambda value: predict(site, ranks, rate, replace(best, value=value)).cost >= budget
     )
-    return replace(best, policy=ROOMY_LRU_POLICY, value=value)
+    return replace(best, policy=EXTRA_COST_LRU_POLICY, value=value)
 
 
 def _largest_setting(
     site: PaperSite, ranks: RankGroups, rate: float, setting: PolicySetting
 ) -> PolicySetting:
     """Return the setting with the largest value that meets the target."""
-    value = _bisect_edge(
-        1.0 if setting.policy == BLIND_POLICY else float(site.keys),
+    value = _largest_valid_value(
+        1.0 if setting.policy == RANDOM_POLICY else float(site.keys),
         lambda value: predict(site, ranks, rate, replace(setting, value=value)).time_ms <= site.target_ms,
     )
     return replace(setting, value=value)
 
 
-def _bisect_edge(maximum: float, is_valid: Callable[[float], bool]) -> float:
+def _largest_valid_value(maximum: float, is_valid: Callable[[float], bool]) -> float:
     """Return the largest valid value up to `maximum`, where all values above it are invalid."""
     if is_valid(maximum):
         return maximum
--- a/rosepick/lab/paper_simulation.py
+++ b/rosepick/lab/paper_simulation.py
@@ -1,4 +1,4 @@
-"""Simulation of the source paper's scenario, with the kernel, machines, caches and draws of the lab's model.
+"""Simulates the source paper's scenario with the kernel, machines, caches and streams of the lab's model.
 
 Source: M. Enguehard, G. Carofiglio, D. Rossi, "A popularity-based approach for effective Cloud offload in Fog
 deployments", 2018.
@@ -21,12 +21,12 @@
 from .model.machine import Machine, MachineConfig
 from .model.random_streams import UniformStream, WorkStream, ZipfStream, create_generator
 from .paper_model import (
-    BLIND_POLICY,
+    EXTRA_COST_LRU_POLICY,
     LFU_POLICY,
     LRU_POLICY,
     PAPER_SITE,
     POLICIES,
-    ROOMY_LRU_POLICY,
+    RANDOM_POLICY,
     PaperSite,
     PolicySetting,
     RankGroups,
@@ -35,10 +35,10 @@
 from .theory import FloatArray
 
 REQUEST_RATES = (1_000.0, 2_000.0, 10_000.0)
-WARM_UP_SHARE = 0.1  # part of the requests that come first and are not measured
-RUN_STEP_MS = 10_000.0  # simulated time between two checks whether the run is complete
-# processor sharing without a limit of requests
-LINE_MACHINE = MachineConfig(cores=1, slots=1_000_000_000, queue=0)
+WARM_UP_SHARE = 0.1  # share of additional requests at the start, which are not measured
+RUN_STEP_MS = 10_000.0  # interval between checks whether the run is complete
+# processor sharing with an unlimited number of requests
+UNLIMITED_MACHINE = MachineConfig(cores=1, slots=1_000_000_000, queue=0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,19 +58,19 @@
 
 
 class FogSimulation:
-    """Fog and Cloud with one policy; requests pass through the queues of both."""
+    """A simulation of Fog and Cloud, with their queues and caches, under one policy."""
 
     def __init__(self, site: PaperSite, ranks: RankGroups, setting: PolicySetting, seed: int) -> None:
         self.site = site
         self.setting = setting
         self.kernel = Kernel()
-        self.fog = Machine(self.kernel, LINE_MACHINE)
-        self.raw_line = Machine(self.kernel, LINE_MACHINE)
-        self.core_line = Machine(self.kernel, LINE_MACHINE)
-        self.access_line = Machine(self.kernel, LINE_MACHINE)
+        self.fog = Machine(self.kernel, UNLIMITED_MACHINE)
+        self.raw_link = Machine(self.kernel, UNLIMITED_MACHINE)
+        self.core_link = Machine(self.kernel, UNLIMITED_MACHINE)
+        self.access_link = Machine(self.kernel, UNLIMITED_MACHINE)
         self.cache = CacheStore(site.fog_cache)
         self.cloud_cache = CacheStore(setting.cloud_cache)
-        has_list = setting.policy in (LRU_POLICY, ROOMY_LRU_POLICY)
+        has_list = setting.policy in (LRU_POLICY, EXTRA_COST_LRU_POLICY)
         self.lru_list = CacheStore(int(setting.value) if has_list else 0)
         self.times_ms: list[float] = []
         self.fog_requests = 0
@@ -86,7 +86,7 @@
 
     def stays_at_fog(self, key: int) -> bool:
         """Return whether a request for a key stays at the Fog."""
-        if self.setting.policy == BLIND_POLICY:
+        if self.setting.policy == RANDOM_POLICY:
             return self._uniform() < self.setting.value
         if self.setting.policy == LFU_POLICY:
             return key < self.setting.value
@@ -96,14 +96,14 @@
         return is_listed
 
     def on_request(self, key: int, is_measured: bool) -> None:
-        """Handle the arrival of a request; those of the warm-up are not measured."""
+        """Handle the arrival of a request; requests of the warm-up are not measured."""
         arrived_at = self.kernel.time
 
         def complete() -> None:
             if is_measured:
                 self.times_ms.append(self.kernel.time - arrived_at)
 
-        reply = partial(self._submit, self.access_line, self.site.access_send_ms, self._access_size, complete)
+        reply = partial(self._submit, self.access_link, self.site.access_send_ms, self._access_size, complete)
         if self.stays_at_fog(key):
             self._process_at_fog(key, is_measured, reply)
         else:
@@ -123,7 +123,7 @@
             self.kernel.call_after(2.0 * site.access_delay_ms, reply)
             return
         compute = partial(self._submit, self.fog, site.fog_work_ms, self._fog_work, store_and_reply)
-        fetch = partial(self._submit, self.raw_line, site.raw_send_ms, self._raw_size, compute)
+        fetch = partial(self._submit, self.raw_link, site.raw_send_ms, self._raw_size, compute)
         self.kernel.call_after(4.0 * site.access_delay_ms, fetch)
 
     def _process_at_cloud(self, key: int, is_measured: bool, reply: Callable[[], None]) -> None:
@@ -133,7 +133,7 @@
             self.cloud_cache.put(key, 1, 0.0)
             self.cloud_misses += is_measured
             delay_ms += site.database_ms + site.cloud_work_ms * self._cloud_work()
-        send = partial(self._submit, self.core_line, site.core_send_ms, self._core_size, reply)
+        send = partial(self._submit, self.core_link, site.core_send_ms, self._core_size, reply)
         self.kernel.call_after(delay_ms, send)
 
     @staticmethod
@@ -141,7 +141,7 @@
         machine.submit(mean_ms * draw(), on_done)
 
     def result(self, rate: float) -> PolicyResult:
-        """Return the result of all measured requests, which came at `rate`."""
+        """Return the result of all measured requests, which arrived at `rate` per second."""
         times = np.array(self.times_ms)
         count = len(times)
         fog_share = self.fog_requests / count
@@ -166,12 +166,12 @@
 
 
 def _warm_caches(simulation: FogSimulation, ranks: RankGroups, seed: int) -> None:
-    """Fill the caches as they are in the long run, which by requests would take millions of them.
+    """Fill the caches with their steady state, which would take millions of requests to reach.
 
-    The time since the last request for a key is exponential with its popularity, and the newest keys are
-    those in an LRU cache. Behind the LRU list only requests count that came while the list still held their
-    key: the gap before them was no longer than the age of the oldest key in the list. Requests that went to
-    the Cloud are approximated by random thinning.
+    The time since the last request for a key is exponential with its popularity, and an LRU cache holds the
+    newest keys. With an LRU list, only those requests reach the Fog's cache that arrived while the list held
+    their key: the gap before them was no longer than the age of the oldest key in the list. The requests that
+    went to the Cloud are approximated by random thinning.
     """
     site = simulation.site
     setting = simulation.setting
@@ -183,10 +183,10 @@
     if setting.policy == LFU_POLICY:
         at_fog = np.arange(site.keys) < setting.value
         to_cloud = np.where(at_fog, 0.0, 1.0)
-    elif setting.policy != BLIND_POLICY:
+    elif setting.policy != RANDOM_POLICY:
         list_age = _fill_cache(simulation.lru_list, ages)
         gaps = generator.exponential(size=site.keys) / popularity
-        # go back to the last request that stayed at the Fog, until no key of that age is left in its cache
+        # go back to each key's last request that stayed at the Fog, up to the age that the Fog's cache holds
         horizon = 2.0 * theory.che_characteristic_time(
             ranks.popularity * ranks.fog_probability(setting), site.fog_cache, ranks.group_size
         )
@@ -197,7 +197,7 @@
         to_cloud = np.exp(-popularity * list_age)
     _fill_cache(simulation.cache, np.where(at_fog, ages, inf))
     if setting.cloud_cache:
-        with np.errstate(divide="ignore", over="ignore"):  # rarest keys: age inf
+        with np.errstate(divide="ignore", over="ignore"):  # the rarest keys get an age of inf
             cloud_ages = generator.exponential(size=site.keys) / (popularity * to_cloud)
             _fill_cache(simulation.cloud_cache, cloud_ages)
 
@@ -216,12 +216,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulationPlan:
-    """What the simulations of all policies share."""
+    """The parameters that the simulations of all policies share."""
 
     site: PaperSite
     ranks: RankGroups
     seed: int
-    requests: int  # that are measured, after a warm-up
+    requests: int  # measured requests, after the warm-up
 
     def run(self, setting: PolicySetting, rate: float) -> PolicyResult:
         """Simulate a policy under one load."""
--- a/rosepick/lab/results.py
+++ b/rosepick/lab/results.py
@@ -1,7 +1,8 @@
-"""Results as JSON lines: for each run a line with its result, then one with its cost.
+"""Writes and reads results as JSON lines: for each run a line with its result and one with its cost.
 
-The result line depends on the experiment, the seed and the revision alone: another run has the same bytes.
-What depends on the machine (CPU, memory) is in the line after it. Field names are the keys of the file.
+The result line depends only on the experiment, the seed and the revision: a repeated run gives the same
+bytes. The cost line has the values that depend on the machine (CPU, memory). Field names are the keys of the
+file.
 """
 
 from __future__ import annotations
@@ -36,15 +37,15 @@
     misses: int = 0
     origin_attempts: int = 0
     crossings: int = 0  # attempts to another zone
-    origin_load: float = 0.0  # part of the origin's cores in use
+    origin_load: float = 0.0  # share of the origin's cores in use
     node_load_mean: float = 0.0
     node_load_most: float = 0.0
-    cold_used: float = 0.0  # highest used part of a cold node's budget, 0 to 1
+    cold_used: float = 0.0  # highest used share of a cold node's budget, 0 to 1
     nodes_up: int = 0
 
 
 class FaultSpan(msgspec.Struct, frozen=True):
-    """A fault as it was played."""
+    """A fault that was injected."""
 
     kind: str
     at: float  # seconds from the start of the run
@@ -65,7 +66,7 @@
 
 
 class RuleViolation(msgspec.Struct, frozen=True):
-    """A broken rule, as observed by nodes and clients."""
+    """A violation of a rule, as observed by nodes and clients."""
 
     rule: str  # answered, effect, drains or cold
     request: str
@@ -95,8 +96,8 @@
     versions: dict[str, str]
     length: float  # seconds
     warm_up: float
-    void: str  # why the run is invalid; empty if it is valid
-    totals: dict[str, float]  # by figure, without the warm-up
+    void: str  # reason why the run is invalid; empty if it is valid
+    totals: dict[str, float]  # by figure, without the requests of the warm-up
     classes: dict[str, GroupSummary]
     tenants: dict[str, GroupSummary]
     percentiles: list[tuple[float, float]]  # of served requests: per cent, milliseconds
@@ -111,11 +112,11 @@
 
 
 class RunCost(msgspec.Struct, frozen=True, tag="cost", tag_field="kind"):
-    """What a run cost on this machine."""
+    """The cost of a run on this machine."""
 
     requests: int
     cpu_s: float
-    decide_us: float  # time of decisions per request, microseconds
+    decide_us: float  # microseconds of decisions per request
     events: int
     memory_mb: float
 
@@ -135,7 +136,7 @@
 def read_results(path: Path) -> Iterator[ResultLine]:
     """Yield the lines of a results file.
 
-    A last line without a newline is skipped, as an interrupted run leaves one.
+    A last line without a newline, which an interrupted run leaves, is skipped.
 
     Raises:
         ResultsError: the file or a line of it cannot be read.
@@ -158,7 +159,7 @@
 
 
 def source_revision() -> str:
-    """Return the Git revision of the sources, with + if they were changed; empty if it is unknown."""
+    """Return the Git revision of the sources, with + if they have changes; empty if unknown."""
     folder = Path(__file__).parent
 
     def git(*arguments: str) -> str:
--- a/rosepick/lab/sim.py
+++ b/rosepick/lab/sim.py
@@ -1,4 +1,4 @@
-"""Runs an experiment in simulated time: real engines and decisions, everything else is a model."""
+"""Runs an experiment in simulated time, with real engines and decisions in a simulated environment."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from .policies import Oracle, create_decider
 from .results import RunCost, RunResult
 
-FINISH_GRACE_MS = 2_000.0  # after the longest deadline, until all requests must have been answered
-PROGRESS_STEPS = 100  # between which progress is reported
+FINISH_GRACE_MS = 2_000.0  # time from the last deadline until all requests must be answered
+PROGRESS_STEPS = 100  # steps of a run, after each of which progress is reported
 
 
 class TimedDecider:
-    """Measures the wall time that a decider takes; its process runs one experiment alone."""
+    """Measures the wall time of a decider, in a process that runs one experiment only."""
 
     def __init__(self, decider: DecisionModule) -> None:
         self._decider = decider
@@ -30,7 +30,7 @@
         self.spent_ns = 0
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Decide on one event."""
+        """Handle one event, and return the actions."""
         started_ns = time.perf_counter_ns()
         try:
             return self._decider.handle(now, event)
@@ -46,10 +46,13 @@
     changes: dict[str, Any],
     progress: Callable[[float], None] | None = None,
 ) -> tuple[RunResult, RunCost]:
-    """Run an experiment. The same experiment, seed, policy and revision give the same result, byte for byte.
+    """Run an experiment in simulated time, and return its result and cost.
+
+    The same experiment, seed, policy and revision give the same result, byte for byte. `progress` is called
+    with the completed share, 0 to 1.
 
     Raises:
-        ExperimentError: it has faults that can be injected on sockets only.
+        ExperimentError: the experiment has faults that can be injected on sockets only.
         ValueError: there is no such policy.
     """
     measure = Measure(experiment)
@@ -81,7 +84,7 @@
 
 
 def _run_to_end(simulation: Simulation, progress: Callable[[float], None] | None) -> None:
-    """Run a simulation until all requests must have been answered; `progress` gets the share that is done."""
+    """Run a simulation until all requests must be answered; `progress` gets the completed share."""
     experiment = simulation.experiment
     fault_schedule.schedule_faults(simulation)
     simulation.start()
--- a/rosepick/lab/sweep.py
+++ b/rosepick/lab/sweep.py
@@ -1,7 +1,7 @@
-"""The runs of a grid, played over worker processes.
+"""Executes the runs of a grid in worker processes.
 
-Results come in the order of the grid, whatever the number of workers. There is no I/O but that of the
-processes.
+Results are in the order of the grid, whatever the number of workers. The module does no I/O except with the
+workers.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 from .grid import GridCell
 from .results import RunCost, RunResult
 
-MAX_ERRORS = 20  # errors that are listed one by one
-CELLS_AHEAD = 4  # cells for each worker that may run or be done beyond the first one that is not
-PROGRESS_INTERVAL_S = 0.2  # between two reads of the workers' progress
+MAX_ERRORS = 20  # errors that are listed; the rest is counted
+MAX_PENDING_PER_WORKER = 4  # submitted cells per worker, from the first unfinished cell on
+PROGRESS_INTERVAL_S = 0.2  # interval between reads of the workers' progress
 
 ProgressCallback = Callable[[float], None]
 CellResult = tuple[RunResult, RunCost]
@@ -34,7 +34,7 @@
 
 
 class RunExperiment(Protocol):
-    """A function that plays one run."""
+    """A function that executes one run."""
 
     def __call__(
         self,
@@ -44,27 +44,27 @@
         changes: dict[str, Any],
         progress: ProgressCallback | None = None,
     ) -> CellResult:
-        """Return result and cost of a run; `progress` is called with the part done, 0 to 1."""
+        """Return the result and cost of a run; `progress` is called with the completed share, 0 to 1."""
         ...
 
 
 class CellError(Exception):
-    """A cell could not be played; the message is one line that names it."""
+    """The run of a cell failed; the message is one line that names the cell."""
 
 
 @dataclass(frozen=True, slots=True)
 class SweepJob:
-    """What a worker needs besides the cell; more than one worker needs a picklable `run_experiment`."""
+    """The common input of all cells; `run_experiment` must be picklable for more than one worker."""
 
     experiment_text: str
     source_name: str
     run_experiment: RunExperiment
 
     def run(self, cell: GridCell, progress: ProgressCallback) -> CellResult:
-        """Play a cell and return its result.
+        """Run a cell and return its result.
 
         Raises:
-            CellError: it could not be played.
+            CellError: the run failed.
         """
         try:
             experiment = parse_experiment(self.experiment_text, self.source_name, cell.changes)
@@ -80,15 +80,15 @@
 def run_sweep(
     job: SweepJob, cells: Sequence[GridCell], workers: int, on_progress: ProgressCallback
 ) -> CellResults:
-    """Play cells and yield their results in order, each as soon as it and all before it are done.
+    """Run cells and yield their results in order, each as soon as it and all previous ones are complete.
 
-    `on_progress` is called with the part of all cells that is done, 0 to 1. When the caller stops or is
-    interrupted, the workers end at once.
+    `on_progress` is called with the completed share of all cells, 0 to 1. When the caller stops or is
+    interrupted, the workers exit immediately.
 
     Raises:
-        ExperimentError: before anything starts: a cell is an invalid experiment.
-        CellError: at the first cell, in order, that could not be played.
-        ValueError: there is no worker.
+        ExperimentError: a cell is an invalid experiment; raised before any cell runs.
+        CellError: the run of a cell failed; raised at the first such cell in order.
+        ValueError: `workers` is less than 1.
     """
     if workers < 1:
         raise ValueError("there must be a worker at least")
@@ -99,10 +99,10 @@
 
 
 def _check_cells(job: SweepJob, cells: Sequence[GridCell]) -> None:
-    """Check all cells before the first one is played.
+    """Validate the experiments of all cells.
 
     Raises:
-        ExperimentError: names the cells that are invalid experiments, with their changes.
+        ExperimentError: cells are invalid experiments; the message names them with their changes.
     """
     errors: list[str] = []
     checked: set[str] = set()
@@ -126,7 +126,7 @@
 
 
 def _run_in_process(job: SweepJob, cells: Sequence[GridCell], on_progress: ProgressCallback) -> CellResults:
-    """Play all cells in this process."""
+    """Run all cells in this process."""
     for number, cell in enumerate(cells):
         result = job.run(cell, partial(_report_progress, on_progress, number, len(cells)))
         on_progress((number + 1) / len(cells))
@@ -142,7 +142,7 @@
 def _run_in_workers(
     job: SweepJob, cells: Sequence[GridCell], workers: int, on_progress: ProgressCallback
 ) -> CellResults:
-    """Play the cells in worker processes."""
+    """Run the cells in worker processes."""
     context = get_context("spawn")
     cell_progress = context.RawArray("d", len(cells))
     worker_end, own_end = context.Pipe(duplex=False)
@@ -153,9 +153,9 @@
     remaining = iter(enumerate(cells))
     try:
         for _ in cells:
-            # limited, so that results do not pile up behind a slow cell
-            _submit_cells(pool, pending, remaining, workers * CELLS_AHEAD)
-            # a pool notices the end of the process that it started last only when it is called again
+            # limited, so that results do not accumulate behind a slow cell
+            _submit_cells(pool, pending, remaining, workers * MAX_PENDING_PER_WORKER)
+            # only a further call makes a pool notice that the process it started last has exited
             pool.submit(int)
             first = pending.popleft()
             while not first.done():
@@ -188,10 +188,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _WorkerState:
-    """What a worker process was started with."""
+    """The arguments that a worker process was started with."""
 
     job: SweepJob
-    cell_progress: Any  # shared array: the part done of each cell, 0 to 1
+    cell_progress: Any  # shared array: completed share of each cell, 0 to 1
 
 
 _worker_state: _WorkerState | None = None
@@ -206,7 +206,7 @@
 
 
 def _exit_with_parent(parent_pipe: Connection) -> None:
-    """End this process as soon as the other end of the pipe is closed, which a kill does as well."""
+    """Exit this process when the other end of the pipe closes, as it also does if the parent is killed."""
     try:
         parent_pipe.recv_bytes()
     except (EOFError, OSError):
--- a/rosepick/lab/theory.py
+++ b/rosepick/lab/theory.py
@@ -1,8 +1,8 @@
-"""Closed-form results for queues and caches, which parts of the model are checked against.
+"""Closed-form results for queues and caches, against which parts of the model are checked.
 
-Times are in any one unit (milliseconds for the model) and rates in its inverse. Arrivals are Poisson,
-service times (`work`) are exponential, and each key is requested independently of the others. Functions of
-queues raise ValueError for a load of 1 or more, where no mean exists.
+Times are in any unit (milliseconds for the model) and rates in its inverse. Arrivals are Poisson, service
+times (`work`) are exponential, and each key is requested independently of the others. Functions of queues
+raise ValueError for a load of 1 or more, for which no mean exists.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 def mmc_wait(rate: float, work: float, servers: int) -> float:
     """Return the mean waiting time in M/M/c, first come first served, over all arrivals.
 
-    Source: Erlang 1917, see `mm1_wait`: the probability of waiting, times the mean service time, over the
-    servers that are idle on average.
+    Source: Erlang 1917, see `mm1_wait`. The wait is the probability of waiting times the mean service time,
+    divided by the mean number of idle servers.
     """
     load = _utilisation(rate, work / servers)
     return erlang_c(rate * work, servers) * work / (servers * (1.0 - load))
 
 
 def erlang_c(offered: float, servers: int) -> float:
-    """Return the probability that an arrival must wait; `offered` of `servers` are busy on average.
+    """Return the probability that an arrival must wait; on average `offered` of `servers` are busy.
 
-    Source: Erlang 1917, see `mm1_wait`; computed from his loss formula B, whose recursion over the servers
-    neither overflows nor loses precision.
+    Source: Erlang 1917, see `mm1_wait`. It is computed from the loss formula B, whose recursion over the
+    servers neither overflows nor loses precision.
     """
     load = _utilisation(offered, 1.0 / servers)
     blocked = 1.0
@@ -67,7 +67,7 @@
     """Return the load of a server.
 
     Raises:
-        ValueError: it is not from 0 to less than 1.
+        ValueError: the load is not from 0 to less than 1.
     """
     load = rate * work
     if not 0.0 <= load < 1.0:
@@ -87,11 +87,11 @@
 def che_characteristic_time(
     popularity: FloatArray, size: float, keys_per_group: FloatArray | None = None
 ) -> float:
-    """Return the characteristic time of an LRU cache: how long an unused key stays, in requests.
+    """Return the characteristic time of an LRU cache: the time, in requests, that an unused key stays.
 
     It is the t at which sum(1 - exp(-popularity * t)) == size, found by bisection; `size` is the number of
-    values that fit. It is inf if all keys fit and 0 if none does. `keys_per_group` is the number of keys of
-    each popularity, 1 by default; popularities need not add up to 1.
+    values that fit. The result is inf if all keys fit and 0 if none fits. `keys_per_group` is the number of
+    keys of each popularity, 1 by default; the sum of the popularities need not be 1.
 
     Source: H. Che, Y. Tung, Z. Wang, "Hierarchical Web caching systems: modeling, design and experimental
     results", IEEE J. Sel. Areas Commun. 20, 2002.
@@ -109,7 +109,7 @@
     while expected_size(high) < size:
         high *= 2.0
     low = 0.0
-    while low < (middle := (low + high) / 2.0) < high:  # until no float lies between them
+    while low < (middle := (low + high) / 2.0) < high:  # until no float is between low and high
         low, high = (middle, high) if expected_size(middle) < size else (low, middle)
     return high
 
