--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab: its files, what it measures, the rules that it watches, and its commands."""
+"""Tests of the lab: experiment files, measurements, checks of the rules, and commands."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
     return subprocess.run([*begin, *map(str, words)], cwd=ROOT, capture_output=True, text=True, timeout=120)
 
 
-# --------------------------------------------------------------------------------------------- its files
+# -------------------------------------------------------------------------------------- experiment files
 
 
-def test_the_experiments_that_come_with_it_have_no_fault() -> None:
+def test_bundled_experiments_are_valid() -> None:
     files = sorted((ROOT / "experiments").glob("*.toml"))
     assert len(files) >= 8
     for path in files:
@@ -68,7 +68,7 @@
         ("name = ", ["f.toml: "]),
     ],
 )
-def test_every_fault_of_a_file_is_named_with_its_place(text: str, faults: list[str]) -> None:
+def test_all_errors_of_a_file_are_reported_with_their_locations(text: str, faults: list[str]) -> None:
     with pytest.raises(ExperimentError) as raised:
         experiment.parse_experiment(text, "f.toml")
     errors = raised.value.errors
@@ -87,7 +87,7 @@
             experiment.parse_experiment(SMALL, "f", {name: 1})
 
 
-def test_a_trace_is_played_as_it_stands_and_its_bad_lines_are_named(tmp_path: Path) -> None:
+def test_trace_requests_are_read_and_invalid_lines_are_reported(tmp_path: Path) -> None:
     trace = tmp_path / "day.csv"
     trace.write_text("# seconds,class,key\n0.5,read,k1\n0.75,read,k2\n\n0.75,read,k1\n")
     changes = {"traffic.arrivals": "trace", "traffic.trace": str(trace)}
@@ -100,7 +100,7 @@
     assert [fault.split(":")[0] for fault in raised.value.errors] == [f"day.csv line {n}" for n in (2, 3, 4)]
 
 
-def test_arrivals_keep_their_rate_and_what_one_part_draws_changes_nothing_for_another() -> None:
+def test_arrivals_have_the_configured_rate_and_random_streams_are_independent() -> None:
     def dues(**changes: object) -> list[tuple[float, int]]:
         return [
             (request.due_ms, request.key)
@@ -113,10 +113,10 @@
     assert dues(**{"clients.leave": 0.5}) == dues()
 
 
-# ------------------------------------------------------------------------------------- what is measured
+# ------------------------------------------------------------------------------------------ measurements
 
 
-def test_requests_count_when_they_were_due_and_conditions_over_their_span() -> None:
+def test_requests_count_at_their_due_time_and_requirements_over_their_span() -> None:
     given = experiment.parse_experiment(SMALL, "f").model_copy(
         update={
             "must": (
@@ -133,7 +133,7 @@
         measure.record_ended(request, "in_time" if good else "refused", 30.0 + n)
     run = measure.build_result(1, "sim", "rosepick", {})
     assert [window.in_time for window in run.windows] == [10, 10, 5, 5]
-    assert run.totals["offered"] == 30  # the first second is no part of it
+    assert run.totals["offered"] == 30  # without the warm-up of one second
     assert run.classes["read"].served_share == pytest.approx(20 / 30, abs=1e-6)
     assert [(verdict.value, verdict.held) for verdict in run.must] == [(0.5, False), (68.0, False)]
     assert not run.good()
@@ -141,7 +141,7 @@
     assert json.loads(line)["kind"] == "run"
 
 
-def test_results_are_read_back_and_a_cut_line_is_passed_over(tmp_path: Path) -> None:
+def test_results_are_read_back_and_a_truncated_line_is_skipped(tmp_path: Path) -> None:
     run, cost = sim.run_simulated(experiment.parse_experiment(SMALL, "f"), 1, "rosepick", {})
     path = tmp_path / "r.jsonl"
     path.write_bytes(
@@ -153,10 +153,10 @@
         list(results.read_results(path))
 
 
-# ------------------------------------------------------------------------------------- what is watched
+# ------------------------------------------------------------------------------------------------- rules
 
 
-def test_a_broken_rule_is_named_with_request_node_and_time() -> None:
+def test_rule_violations_have_request_node_and_time() -> None:
     given = experiment.parse_experiment(SMALL, "f")
     measure = Measure(given)
     simulation = Simulation(given, 1, measure)
@@ -175,12 +175,12 @@
     simulation.monitor.record_answer(client_try, 1_070.0, False, "router-0")
     found = [(broken.rule, broken.request, broken.node, broken.at) for broken in measure.violations]
     assert found[0] == ("drains", "7.1", node.uid, 0.8)
-    assert ("effect", "7.1", node.uid, 0.8) in found  # sent while another attempt was out
-    assert ("answered", "7.1", "router-0", 1.06) in found  # late, and then once more
+    assert ("effect", "7.1", node.uid, 0.8) in found  # sent while another attempt was in flight
+    assert ("answered", "7.1", "router-0", 1.06) in found  # late, and then a second time
     assert sum(rule == "answered" for rule, *_ in found) == 3
 
 
-def test_a_request_without_an_answer_at_the_end_of_a_run_is_a_broken_rule() -> None:
+def test_unanswered_request_at_the_end_of_a_run_violates_a_rule() -> None:
     given = experiment.parse_experiment(SMALL, "f")
     measure = Measure(given)
     simulation = Simulation(given, 1, measure)
@@ -198,7 +198,7 @@
     assert {(broken.rule, broken.text) for broken in measure.violations} == {("answered", "never answered")}
 
 
-def test_a_cold_node_that_is_pushed_over_is_a_broken_rule() -> None:
+def test_overload_of_a_cold_node_violates_a_rule() -> None:
     text = SMALL + 'troubles = [{kind = "grow", at = 1, nodes = 1}]\npolicy = "random"\n'
     changes = {
         "fleet.0.falls_at": 0.2,
@@ -212,7 +212,7 @@
     assert not run.good()
 
 
-def test_every_trouble_that_is_simulated_is_played() -> None:
+def test_every_simulated_fault_kind_is_injected() -> None:
     kinds = [
         kind
         for kind in experiment_config.FaultKind.__args__  # type: ignore[attr-defined]
@@ -243,13 +243,13 @@
         ("after = 1\nwithin = 3", "from 4 to 4 s"),
     ],
 )
-def test_nothing_is_held_over_no_time_at_all(given: str, text: str) -> None:
+def test_requirement_over_an_empty_span_is_an_error(given: str, text: str) -> None:
     rows = f'[[troubles]]\nkind = "slow"\nat = 0.5\nfor = 0.5\n[[must]]\nwhat = "p99_ms"\nmost = 1\n{given}'
     with pytest.raises(ExperimentError, match=f"no whole second {text}"):
         experiment.parse_experiment(SMALL + rows, "f", {"length": 4.0})
 
 
-def test_a_second_that_a_trouble_ends_in_does_not_count_as_after_it() -> None:
+def test_second_in_which_a_fault_ends_is_not_counted_as_after_it() -> None:
     measure = Measure(experiment.parse_experiment(SMALL, "f", {"length": 4.0}))
     for second in range(4):
         measure.record_offered(MeasuredRequest(1000.0 * second, "read", "", 1.0))
@@ -257,25 +257,27 @@
     assert measure.figures(1.0, 2.5)["offered"] == 2.0
 
 
-def test_a_call_to_discovery_takes_longer_by_each_line_that_it_tells() -> None:
-    def heard(line_ms: float) -> tuple[float, int]:
-        """When a router that knows nothing is told, and how many lines."""
+def test_each_endpoint_in_a_discovery_call_takes_time() -> None:
+    def first_notification(line_ms: float) -> tuple[float, int]:
+        """Return when a router without a list is notified, and the number of endpoints in the list."""
         given = experiment.parse_experiment(
             SMALL, "f", {"discovery.line_ms": line_ms, "discovery.call_ms": 1.0}
         )
         simulation = Simulation(given, 1, Measure(given))
         notified_at: list[float] = []
-        watcher = simulation.discovery.subscribe(lambda event: notified_at.append(simulation.kernel.time), 0)
-        watcher.revision = 0  # it knows nothing
-        simulation.discovery.set_subscribed(watcher, True)
+        subscriber = simulation.discovery.subscribe(
+            lambda event: notified_at.append(simulation.kernel.time), 0
+        )
+        subscriber.revision = 0  # the router has no list
+        simulation.discovery.set_subscribed(subscriber, True)
         simulation.kernel.run(1_000.0)
         return notified_at[0], len(simulation.discovery._members)
 
-    (quick, _), (slow, lines) = heard(0.0), heard(10.0)
-    assert slow - quick == pytest.approx(10.0 * lines)
+    (quick, _), (slow, endpoints) = first_notification(0.0), first_notification(10.0)
+    assert slow - quick == pytest.approx(10.0 * endpoints)
 
 
-def test_drained_nodes_get_nothing_and_replaced_ones_are_cold_and_known() -> None:
+def test_replaced_nodes_are_removed_and_their_replacements_are_used() -> None:
     text = SMALL + 'troubles = [{kind = "replace", at = 1, for = 1, nodes = 2}]'
     given = experiment.parse_experiment(text, "f", {"length": 10.0})
     measure = Measure(given)
@@ -290,10 +292,10 @@
     assert measure.violations == []
 
 
-# ----------------------------------------------------------------------------------------- its commands
+# ---------------------------------------------------------------------------------------------- commands
 
 
-def test_commands_end_with_a_status_that_says_what_came(tmp_path: Path) -> None:
+def test_exit_status_of_commands(tmp_path: Path) -> None:
     good, bad = tmp_path / "good.toml", tmp_path / "bad.toml"
     good.write_text(SMALL + '[[must]]\nwhat = "served_share"\nleast = 0.5\n')
     bad.write_text("nmae = 3\nlength = -1\n")
@@ -313,7 +315,7 @@
     assert page.read_text().startswith("<!DOCTYPE html>")
 
 
-def test_without_the_extra_one_line_says_what_brings_it(tmp_path: Path) -> None:
+def test_missing_extra_is_reported_in_one_line(tmp_path: Path) -> None:
     code = "import sys; sys.modules['msgspec'] = None; from rosepick.cli.app import app; app()"
     done = rosepick("lab", "report", "x.jsonl", code=code)
     assert done.returncode == 2
@@ -322,7 +324,7 @@
     )
 
 
-def test_serving_loads_nothing_that_it_does_not_need() -> None:
+def test_serve_does_not_import_the_lab() -> None:
     code = (
         "import sys; from rosepick.cli.app import app\n"
         "try:\n    app()\nexcept SystemExit:\n    pass\n"
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -1,4 +1,4 @@
-"""The days of the fleet in the lab: little time, scarce places, callers that are turned away."""
+"""Tests of simulated fleets: processor time, connection limits, discovery rejections, and zone faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from rosepick.lab.model import fault_schedule
 from rosepick.lab.model.simulation import Simulation
 
-DAYS = sorted((Path(__file__).parent.parent / "experiments").glob("fleet-*.toml"))
+FLEET_EXPERIMENTS = sorted((Path(__file__).parent.parent / "experiments").glob("fleet-*.toml"))
 SMALL = """
 name = "f"
 length = 4
@@ -25,27 +25,27 @@
 """
 
 
-def read(changes: dict[str, Any], more: str = "") -> Experiment:
+def parse_small(changes: dict[str, Any], more: str = "") -> Experiment:
     return experiment.parse_experiment(SMALL + more, "f", changes)
 
 
-def play(given: Experiment) -> Simulation:
-    """Play an experiment to its end."""
-    made = Simulation(given, 1, Measure(given))
-    fault_schedule.schedule_faults(made)
-    made.start()
-    made.kernel.run(1000.0 * given.length + 3_000.0)
-    made.finish()
-    return made
+def run_to_end(given: Experiment) -> Simulation:
+    """Run a simulation of an experiment to its end."""
+    simulation = Simulation(given, 1, Measure(given))
+    fault_schedule.schedule_faults(simulation)
+    simulation.start()
+    simulation.kernel.run(1000.0 * given.length + 3_000.0)
+    simulation.finish()
+    return simulation
 
 
-def test_every_day_is_there_and_a_short_form_of_one_keeps_the_rules() -> None:
-    assert [day.stem[6:] for day in DAYS] == ["calm", "herd", "join", "roll", "split", "zone"]
-    for day in DAYS:
-        given = experiment.load_experiment(day)
+def test_fleet_experiments_exist_and_a_short_run_violates_no_rule() -> None:
+    assert [path.stem[6:] for path in FLEET_EXPERIMENTS] == ["calm", "herd", "join", "roll", "split", "zone"]
+    for path in FLEET_EXPERIMENTS:
+        given = experiment.load_experiment(path)
         assert (given.routers.count, given.fleet[0].count) == (200, 200)
     short = {"routers.count": 20, "fleet.0.count": 20, "traffic.rate": 100, "origin.connections": 12}
-    run, _ = sim.run_simulated(experiment.load_experiment(DAYS[1], short), 1, "rosepick", short)
+    run, _ = sim.run_simulated(experiment.load_experiment(FLEET_EXPERIMENTS[1], short), 1, "rosepick", short)
     assert run.broken == []
     assert run.totals["served_share"] > 0.3
     killed = next(span for span in run.troubles if span.kind == "router_kill")
@@ -56,19 +56,23 @@
     ("changes", "least", "most"),
     [
         ({}, 0.95, 1.0),
-        ({"routers.request_us": 500.0, "routers.attempt_us": 500.0}, 0.95, 1.0),  # a hundredth of its time
-        ({"routers.request_us": 50_000.0, "routers.cores": 0.25}, 0.0, 0.6),  # twice what it has
+        ({"routers.request_us": 500.0, "routers.attempt_us": 500.0}, 0.95, 1.0),  # 1 % of the processor time
+        ({"routers.request_us": 50_000.0, "routers.cores": 0.25}, 0.0, 0.6),  # twice the processor time
     ],
 )
-def test_a_router_that_has_no_time_serves_late(changes: dict[str, Any], least: float, most: float) -> None:
-    assert least <= sim.run_simulated(read(changes), 1, "rosepick", {})[0].totals["served_share"] <= most
+def test_router_without_processor_time_serves_late(
+    changes: dict[str, Any], least: float, most: float
+) -> None:
+    assert (
+        least <= sim.run_simulated(parse_small(changes), 1, "rosepick", {})[0].totals["served_share"] <= most
+    )
 
 
-def test_places_are_scarce_callers_are_turned_away_and_some_routers_are_busy() -> None:
+def test_connection_limit_discovery_patience_and_heavy_routers() -> None:
     slow = {"discovery.call_ms": 300.0}
-    assert play(read(slow)).discovery.rejected_calls == 0
-    made = play(
-        read(
+    assert run_to_end(parse_small(slow)).discovery.rejected_calls == 0
+    simulation = run_to_end(
+        parse_small(
             {
                 **slow,
                 "discovery.patience_ms": 500.0,
@@ -78,16 +82,17 @@
             }
         )
     )
-    counts = [router.engine.counts for router in made.routers if router is not None]
+    counts = [router.engine.counts for router in simulation.routers if router is not None]
     assert sum(one["attempt_connection_limit"] for one in counts) > 0
     assert sum(one["attempt_busy"] + one["attempt_connect_failed"] for one in counts) == 0
-    assert made.origin.connections <= 2
-    assert made.discovery.rejected_calls > 0
-    assert sum(watcher.subscribed for watcher in made.discovery.subscribers) > 5  # the others came again
+    assert simulation.origin.connections <= 2
+    assert simulation.discovery.rejected_calls > 0
+    # rejected routers subscribed again
+    assert sum(subscriber.subscribed for subscriber in simulation.discovery.subscribers) > 5
     assert counts[0]["requests"] > 3 * max(one["requests"] for one in counts[1:])
 
 
-CUT_OFF = '[[troubles]]\nkind = "isolate"\nat = 1\nfor = 1\n'
+ISOLATE_FAULT = '[[troubles]]\nkind = "isolate"\nat = 1\nfor = 1\n'
 
 
 @pytest.mark.parametrize(
@@ -98,19 +103,19 @@
             '[[troubles]]\nkind = "router_restart"\nat = 1\nfor = 2\npart = 1.0\ndown = 0.1\n',
             {1_050: ([0], True), 1_450: ([0, 1, 2], True), 2_950: ([8, 9], True), 3_400: ([], True)},
         ),
-        (f'{CUT_OFF}zone = "b"\n', {500: ([], True), 1_500: ([], False), 2_500: ([], True)}),
+        (f'{ISOLATE_FAULT}zone = "b"\n', {500: ([], True), 1_500: ([], False), 2_500: ([], True)}),
     ],
 )
-def test_routers_go_by_tenths_and_a_zone_is_cut_off(row: str, seen: dict[int, object]) -> None:
-    made = Simulation(
-        given := read({"routers.start_ms": 200.0, "routers.cores": 0.5}, row), 1, Measure(given)
+def test_routers_restart_by_tenths_and_a_zone_is_isolated(row: str, seen: dict[int, object]) -> None:
+    simulation = Simulation(
+        given := parse_small({"routers.start_ms": 200.0, "routers.cores": 0.5}, row), 1, Measure(given)
     )
-    fault_schedule.schedule_faults(made)
-    made.start()
+    fault_schedule.schedule_faults(simulation)
+    simulation.start()
     for at, wanted in seen.items():
-        made.kernel.run(float(at))
-        gone = [place for place, router in enumerate(made.routers) if router is None]
-        assert (gone, made.network.is_connected(0, 1)) == wanted
+        simulation.kernel.run(float(at))
+        gone = [place for place, router in enumerate(simulation.routers) if router is None]
+        assert (gone, simulation.network.is_connected(0, 1)) == wanted
 
 
 @pytest.mark.parametrize(
@@ -120,6 +125,6 @@
         ('zone = "b"\npart = 0.5\nrouters = 2\n', "and `part`"),
     ],
 )
-def test_faults_of_the_file(more: str, text: str) -> None:
+def test_invalid_fault_is_reported(more: str, text: str) -> None:
     with pytest.raises(ExperimentError, match=text):
-        read({}, CUT_OFF + more)
+        parse_small({}, ISOLATE_FAULT + more)
--- a/tests/test_lab_policies.py
+++ b/tests/test_lab_policies.py
@@ -1,4 +1,4 @@
-"""Baseline policies: each keeps the rules on random streams, chooses as its name says, and is repeatable."""
+"""Tests of the baseline policies: rules under random events, choices, and repeatable decisions."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 
 
 class BaselineDriver(RandomEventDriver):
-    """The checker with a baseline policy; it ends attempts at their stop times, as the engine does."""
+    """Checks a baseline policy under random events; attempts end at their stop times, as in the engine."""
 
     def __init__(self, name: str, setup: str, seed: int) -> None:
         super().__init__(*SETUPS[setup][:2], seed, SETUPS[setup][2])
-        # one attempt at a time, whatever the site allows: the checker reads the limits from here
+        # baseline policies have one attempt in flight; the driver checks that by these limits
         self.given = replace(self.given, limits=replace(self.given.limits, allow_hedging=False))
         self.policy = POLICIES[name](self.given, seed)
         self.router = self.policy  # type: ignore[assignment]
@@ -48,7 +48,7 @@
             self.policy.ground_truth = FakeGroundTruth({})
 
     def check_cold(self, endpoint: int) -> None:
-        """Check nothing: baseline policies do not know of warm-up, so none can keep a cold node's budget."""
+        """Check nothing: baseline policies ignore warm-up, so they exceed cold budgets."""
 
     def schedule_outcome(self, action: api.Send, attempt: int) -> None:
         super().schedule_outcome(action, attempt)
@@ -59,7 +59,7 @@
 
 
 class FakeGroundTruth:
-    """A made-up truth: latencies by endpoint, and the endpoints that hold every key."""
+    """A ground truth with given latencies by endpoint, and endpoints that hold every key."""
 
     def __init__(self, latencies: Mapping[int, float], held_by: Sequence[int] = (), cold: int = 0) -> None:
         self.latencies = latencies
@@ -78,8 +78,8 @@
 
 @pytest.mark.parametrize("setup", SETUPS)
 @pytest.mark.parametrize("name", POLICIES)
-def test_rules_hold_on_random_streams(name: str, setup: str) -> None:
-    """Every request has one final answer (`run` checks that), and nothing is held then."""
+def test_rules_hold_for_random_events(name: str, setup: str) -> None:
+    """Every request gets one final answer, which `run` checks, and leaves no state behind."""
     for seed in range(4):
         driver = BaselineDriver(name, setup, seed)
         driver.run(requests=200)
@@ -87,7 +87,7 @@
         assert all(node.in_flight == 0 for node in driver.policy.membership.nodes.values())
 
 
-def test_random_streams_reach_every_kind_of_action() -> None:
+def test_random_events_cause_every_kind_of_action() -> None:
     driver = BaselineDriver("random", "aside", 1)
     driver.run()
     kinds = {type(action) for _, action in driver.trace}
@@ -98,7 +98,7 @@
 
 
 def digest() -> str:
-    """Return a hash of what all policies decide on one stream."""
+    """Return a hash of the decisions of all policies for one sequence of events."""
     decisions = blake2b()
     for name in POLICIES:
         driver = BaselineDriver(name, "aside", 5)
@@ -107,7 +107,7 @@
     return decisions.hexdigest()
 
 
-def test_same_decisions_whatever_the_hash_seed() -> None:
+def test_decisions_do_not_depend_on_the_hash_seed() -> None:
     code = "from tests.test_lab_policies import digest; print(digest())"
     root = Path(__file__).parent.parent
     for seed in ("1", "2"):
@@ -123,7 +123,7 @@
         assert done.stdout.strip() == digest()
 
 
-# -------------------------------------------------------------------------------------------- what all share
+# ------------------------------------------------------------------------------------------ common behaviour
 
 READ = api.RequestClass(objective_ms=600, deadline_ms=1200)
 WINDOW: dict[str, object] = {"effect": Effect.DEDUP, "repeat_window_ms": 100.0}
@@ -138,7 +138,7 @@
 def create_policy(
     name: str, nodes: int, given: api.RouterSettings = ONE_CLASS, origin: bool = True
 ) -> BaselinePolicy:
-    """Return a policy that knows cache nodes 1 to `nodes`, and the origin 9000."""
+    """Return a policy whose list has the cache nodes 1 to `nodes` and, if `origin`, the origin 9000."""
     policy = POLICIES[name](given, 3)
     members = [api.Endpoint(number, zone=number % 2, cell=number % 3) for number in range(1, nodes + 1)]
     if origin:
@@ -148,7 +148,7 @@
 
 
 def sent_to(actions: Sequence[api.Action]) -> int | None:
-    """Return where the one attempt among the actions goes, if there is one."""
+    """Return the endpoint of the only Send among the actions, or None."""
     endpoints = [action.endpoint_id for action in actions if isinstance(action, api.Send)]
     assert len(endpoints) < 2
     return endpoints[0] if endpoints else None
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize("name", POLICIES)
-def test_writes_and_misses_go_to_the_origin_at_no_price(name: str) -> None:
+def test_writes_and_misses_at_the_origin_need_no_retry_budget(name: str) -> None:
     policy = create_policy(name, 4)
     assert send_request(policy, 2, write=True) == 9000
     first = send_request(policy, 1)
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("name", POLICIES)
-def test_a_read_is_tried_everywhere_once_before_anywhere_twice(name: str) -> None:
+def test_read_is_tried_at_every_node_before_a_repeat(name: str) -> None:
     policy = create_policy(name, 3)
     tried = [send_request(policy, 1)]
     for attempt in range(4):
@@ -204,19 +204,19 @@
         ({}, Result.ERROR, 1199.0, api.Send),
     ],
 )
-def test_what_follows_an_outcome(
+def test_action_after_an_outcome(
     changes: dict[str, object], result: Result, now: float, expected: type[api.Action]
 ) -> None:
-    klass = replace(READ, **changes)  # type: ignore[arg-type]
-    policy = create_policy("random", 3, replace(ONE_CLASS, classes=(klass,)))
+    request_class = replace(READ, **changes)  # type: ignore[arg-type]
+    policy = create_policy("random", 3, replace(ONE_CLASS, classes=(request_class,)))
     action = end_attempt(policy, result, send_request(policy, 1) or 0, now=now)[0]
     assert isinstance(action, expected)
 
 
 def test_repeats_stay_in_their_group() -> None:
-    klass = replace(READ, effect=Effect.DEDUP, repeat_window_ms=1000.0, group=Group.CELL)
+    request_class = replace(READ, effect=Effect.DEDUP, repeat_window_ms=1000.0, group=Group.CELL)
     for seed in range(20):
-        policy = POLICIES["random"](replace(ONE_CLASS, classes=(klass,)), seed)
+        policy = POLICIES["random"](replace(ONE_CLASS, classes=(request_class,)), seed)
         members = [api.Endpoint(number, cell=number % 3) for number in range(1, 7)]
         policy.handle(0.0, api.EndpointUpdate(UpdateScope.FULL, tuple(members)))
         first = send_request(policy, 1) or 0
@@ -224,7 +224,7 @@
         assert second != first and second % 3 == first % 3
 
 
-def test_an_attempt_that_has_had_its_time_is_cancelled() -> None:
+def test_attempt_is_cancelled_at_its_timeout() -> None:
     policy = create_policy("random", 3)
     timers = [
         a for a in policy.handle(1.0, api.RequestArrived(1, 0, 1200.0, 7)) if isinstance(a, api.SetTimer)
@@ -237,9 +237,11 @@
     assert policy.handle(301.0, api.TimerFired(check.token)) == []
     assert sent_to(end_attempt(policy, Result.CANCELLED, first, now=301.0)) not in (None, first)
     policy.retry_credit = 0.0
-    assert policy.handle(700.0, api.TimerFired(check.token)) == [], "without a retry it is better to wait"
+    assert (
+        policy.handle(700.0, api.TimerFired(check.token)) == []
+    ), "an attempt is not cancelled without retry budget"
     send_request(policy, 2, write=True)
-    assert policy.requests[2].attempt_timeout_at == inf, "nor is it of use to ask the only origin again"
+    assert policy.requests[2].attempt_timeout_at == inf, "there is no timeout if no untried node is left"
 
 
 @pytest.mark.parametrize(
@@ -257,57 +259,58 @@
 def test_stop_time_only_where_another_attempt_may_follow(
     attempts: int, retries: float, changes: dict[str, object], stop_at: float
 ) -> None:
-    klass = replace(READ, **changes)  # type: ignore[arg-type]
+    request_class = replace(READ, **changes)  # type: ignore[arg-type]
     policy = create_policy(
-        "random", 3, replace(ONE_CLASS, classes=(klass,), limits=api.RouterLimits(attempts))
+        "random", 3, replace(ONE_CLASS, classes=(request_class,), limits=api.RouterLimits(attempts))
     )
-    policy.retry_credit = retries - 0.2  # a request earns that
+    policy.retry_credit = retries - 0.2  # the request itself adds 0.2
     actions = policy.handle(1.0, api.RequestArrived(1, 0, 1200.0, 7))
     assert [action.stop_at for action in actions if isinstance(action, api.Send)] == [stop_at]
 
 
-def test_what_is_cancelled_once_a_request_is_closed() -> None:
+def test_cancel_after_a_request_is_closed() -> None:
     policy = create_policy("random", 3)
     for ref, write in ((1, False), (2, True), (3, False)):
         send_request(policy, ref, write=write)
     assert policy.handle(2.0, api.ClientDisconnected(1)) == [api.Cancel(1, 0)]
-    assert policy.handle(2.0, api.ClientDisconnected(2)) == [], "the origin goes on"
-    assert policy.handle(2.0, api.FirstByte(3, 0, 1)) == [], "the stream is the answer"
+    assert policy.handle(2.0, api.ClientDisconnected(2)) == [], "an attempt at the origin continues"
+    assert policy.handle(2.0, api.FirstByte(3, 0, 1)) == [], "a streamed response is not cancelled"
 
 
-def test_the_retry_budget_is_a_burst_and_a_fifth() -> None:
+def test_retry_budget_is_a_burst_and_a_fifth_of_requests() -> None:
     policy = create_policy("random", 3)
     for ref in range(160):
         endpoint = send_request(policy, ref) or 0
         if ref >= 100:
             policy.handle(1.0, api.AttemptEnded(ref, 0, endpoint, Result.BUSY))
-    assert sum(len(job.attempts) > 1 for job in policy.requests.values()) == 23  # 12, and of 59 a fifth
+    # a burst of 12, and a fifth of 59 requests
+    assert sum(len(job.attempts) > 1 for job in policy.requests.values()) == 23
 
 
 def test_which_members_are_origins() -> None:
-    assert send_request(create_policy("random", 0), 1) is None, "a read asks a cache node first"
+    assert send_request(create_policy("random", 0), 1) is None, "a read goes to a cache node first"
     assert (
         send_request(create_policy("random", 0, replace(ONE_CLASS, mode=Mode.THROUGH)), 1) == 9000
-    ), "a node like another"
+    ), "an origin is an ordinary node in read-through mode"
     policy = create_policy("random", 0)
     policy.handle(1.0, api.EndpointUpdate(UpdateScope.DELTA, (api.Endpoint(9001, kind=ORIGIN_KIND),)))
     first = send_request(policy, 1, write=True) or 0
     assert sent_to(end_attempt(policy, Result.RESET, first)) == 18001 - first
 
 
-def test_a_node_that_drains_or_left_gets_nothing() -> None:
+def test_draining_and_removed_nodes_get_no_attempts() -> None:
     for state in (api.Status.DRAINING, api.Status.REMOVED):
         policy = create_policy("random", 2)
         policy.handle(1.0, api.EndpointUpdate(UpdateScope.DELTA, (api.Endpoint(1, state),)))
         assert {send_request(policy, ref) for ref in range(9)} == {2}
         policy.handle(1.0, api.EndpointUpdate(UpdateScope.DELTA, (api.Endpoint(2, state),)))
         policy.handle(1.0, api.EndpointUpdate(UpdateScope.DELTA, (api.Endpoint(2),)))
-        assert policy.membership.nodes[2].in_flight == 9, "what is out there still counts"
+        assert policy.membership.nodes[2].in_flight == 9, "attempts in flight still count"
     policy.handle(2.0, api.EndpointUpdate(UpdateScope.CACHED, (api.Endpoint(5),)))
     assert {send_request(policy, ref) for ref in range(10, 19)} == {5}
 
 
-def test_discovery_is_asked_again_later_each_time() -> None:
+def test_subscription_is_retried_with_growing_delays() -> None:
     policy = POLICIES["random"](replace(ONE_CLASS, subscribe=True), 1)
     assert policy.handle(0.0, api.EndpointUpdate(UpdateScope.CACHED))[0] == api.Watch(True)
     waits, now, again = [], 0.0, api.TimerFired(0)
@@ -320,14 +323,14 @@
         assert policy.handle(now, again)[0] == api.Watch(True)
     assert waits[0] < 1100.0 < 3000.0 <= waits[-1] <= 9000.0
     lost = now + 10_000.0
-    assert policy.handle(lost, again)[0] == api.Watch(True), "an answer that never came"
+    assert policy.handle(lost, again)[0] == api.Watch(True), "there was no answer"
     policy.handle(lost, api.EndpointUpdate(UpdateScope.DELTA))
     assert policy.handle(lost + 20_000.0, again) == []
     policy.handle(lost + 20_000.0, api.EndpointUpdate(UpdateScope.FAILED))
     assert policy.handle(lost + 22_000.0, again)[0] == api.Watch(True)
 
 
-# ---------------------------------------------------------------------------------------- what each chooses
+# -------------------------------------------------------------------------------------------------- choices
 
 
 def outstanding(policy: BaselinePolicy) -> list[int]:
@@ -335,7 +338,7 @@
 
 
 def spreads_evenly(policy: BaselinePolicy) -> None:
-    """Round robin: each node gets the same number."""
+    """Check round robin: each node gets the same number of requests."""
     assert set(Counter(send_request(policy, ref) for ref in range(60)).values()) == {6}
 
 
@@ -348,7 +351,7 @@
 
 
 def chooses_better_of_two(policy: BaselinePolicy) -> None:
-    """Two choices: the single most loaded node is never taken, and the draws are of two."""
+    """Check two choices: the most loaded node is never chosen, less loaded nodes more often."""
     for number, node in policy.membership.nodes.items():
         node.in_flight = number
     taken: Counter[int] = Counter()
@@ -360,13 +363,13 @@
 
 
 def chooses_anywhere(policy: BaselinePolicy) -> None:
-    """Random: every node has its part."""
+    """Check random choice: all nodes are chosen about equally often."""
     counts = Counter(send_request(policy, ref) for ref in range(1000))
     assert len(counts) == 10 and max(counts.values()) < 140
 
 
 def keeps_load_bound(policy: BaselinePolicy) -> None:
-    """Hashing: one hot key spreads no further than the bound makes it, and never over it."""
+    """Check bounded hashing: no node exceeds the load bound, even with one hot key."""
     for ref in range(200):
         send_request(policy, ref)
         assert max(outstanding(policy)) <= ceil(1.25 * (ref + 1) / 10)
@@ -383,11 +386,11 @@
         ("hash-bounded", keeps_load_bound),
     ],
 )
-def test_chooses_as_its_name_says(name: str, check: Callable[[BaselinePolicy], None]) -> None:
+def test_policy_chooses_by_its_rule(name: str, check: Callable[[BaselinePolicy], None]) -> None:
     check(create_policy(name, 10))
 
 
-def test_hashing_moves_only_the_keys_of_the_node_that_left() -> None:
+def test_only_keys_of_a_removed_node_move() -> None:
     def places(policy: BaselinePolicy) -> list[int | None]:
         found = []
         for key in range(1, 301):
@@ -409,21 +412,21 @@
 @pytest.mark.parametrize(
     ("truth", "expected"),
     [
-        (FakeGroundTruth({1: 9, 2: 5, 3: 7}, held_by=[1]), 1),  # its holder, though another is quicker
-        (FakeGroundTruth({1: 9, 2: 5, 3: 7}), 2),  # held nowhere: the quickest of its homes
-        (FakeGroundTruth({1: 400, 2: 5, 3: 7}, held_by=[1]), 2),  # its holder is too slow
-        (FakeGroundTruth({1: 9, 2: 5, 3: 7}, held_by=[2], cold=2), 3),  # its budget is used up
+        (FakeGroundTruth({1: 9, 2: 5, 3: 7}, held_by=[1]), 1),  # the holder, although another node is faster
+        (FakeGroundTruth({1: 9, 2: 5, 3: 7}), 2),  # no holder: the fastest preferred node
+        (FakeGroundTruth({1: 400, 2: 5, 3: 7}, held_by=[1]), 2),  # the holder is too slow
+        (FakeGroundTruth({1: 9, 2: 5, 3: 7}, held_by=[2], cold=2), 3),  # the cold budget of node 2 is used up
         (FakeGroundTruth({1: inf, 2: inf, 3: 50}), 3),
     ],
 )
-def test_oracle_follows_the_truth(truth: FakeGroundTruth, expected: int) -> None:
+def test_oracle_uses_ground_truth(truth: FakeGroundTruth, expected: int) -> None:
     policy = create_policy("oracle", 3)
     assert isinstance(policy, Oracle)
     policy.ground_truth = truth
     assert send_request(policy, 1) == expected
 
 
-def test_oracle_parts_ties_by_key() -> None:
+def test_oracle_breaks_ties_by_key() -> None:
     policy = create_policy("oracle", 3)
     assert isinstance(policy, Oracle)
     policy.ground_truth = FakeGroundTruth(dict.fromkeys((1, 2, 3), 4.0))
--- a/tests/test_lab_theory.py
+++ b/tests/test_lab_theory.py
@@ -1,4 +1,4 @@
-"""The model against theory, its order of events, what its routers may know; and the paper's scenario."""
+"""Tests of the model against queueing theory, of its order of events, and of the paper's scenario."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 from rosepick.lab.theory import FloatArray
 
 ROOT = Path(__file__).parent.parent
-LONG = 1_000_000  # requests of a recursion, whose statistical error is then 1 % at load 0.8
+RECURSION_REQUESTS = 1_000_000  # their statistical error is 1 % at load 0.8
 UNBOUNDED = 1_000_000_000
 
 
 def exponential(seed: int, name: str, mean: float, count: int) -> FloatArray:
-    """Draws of the simulation's own kind, all at once."""
+    """Return exponential draws of the simulation's generator."""
     return mean * create_generator(seed, name).exponential(size=count)
 
 
 def recursion(gaps: FloatArray, works: FloatArray, cores: int) -> FloatArray:
-    """Each one's time in the queue, first come first served, without any events."""
+    """Return the waiting time of each request, first come first served, by recursion without events."""
     if cores == 1:
         total = np.cumsum(np.concatenate(([0.0], works[:-1] - gaps[1:])))
         return np.asarray(total - np.minimum.accumulate(total))
@@ -54,20 +54,18 @@
 
 
 def served(shape: MachineConfig, seed: int, gap: float, count: int) -> FloatArray:
-    """Each one's time in a server, work and all, with draws of mean `gap` between arrivals and works of mean
-    1.
-    """
+    """Return the sojourn time of each request at a server; the mean gap is `gap`, the mean work 1."""
     kernel, times = Kernel(), np.zeros(count)
     server = Machine(kernel, shape)
     gaps, works = (WorkStream(seed, name, "exponential", 0.0) for name in ("gaps", "works"))
 
-    def come(number: int) -> None:
+    def arrive(number: int) -> None:
         came = kernel.time
         assert server.submit(works(), lambda: times.__setitem__(number, kernel.time - came))
         if number + 1 < count:
-            kernel.call_after(gap * gaps(), lambda: come(number + 1))
+            kernel.call_after(gap * gaps(), lambda: arrive(number + 1))
 
-    kernel.call_after(gap * gaps(), lambda: come(0))
+    kernel.call_after(gap * gaps(), lambda: arrive(0))
     kernel.run(10.0 * (count + 1_000) * gap)
     return times
 
@@ -80,7 +78,8 @@
     assert theory.erlang_c(0.7, 1) == pytest.approx(0.7)
     assert theory.mm1_wait(0.8, 1.0) == pytest.approx(4.0)
     assert theory.processor_sharing_sojourn(0.8, 1.0) == pytest.approx(theory.mm1_wait(0.8, 1.0) + 1.0)
-    assert theory.processor_sharing_deviation(1e-9, 2.0) == pytest.approx(2.0)  # alone: that of the work
+    # without load the deviation is that of the work
+    assert theory.processor_sharing_deviation(1e-9, 2.0) == pytest.approx(2.0)
 
 
 @pytest.mark.parametrize(
@@ -93,7 +92,7 @@
         (theory.erlang_c, (-1, 2)),
     ],
 )
-def test_too_much_work_has_no_mean(formula: Callable[..., float], given: tuple[int, ...]) -> None:
+def test_overload_raises_value_error(formula: Callable[..., float], given: tuple[int, ...]) -> None:
     with pytest.raises(ValueError, match="no mean"):
         formula(*given)
 
@@ -116,24 +115,25 @@
     assert theory.che_hits(np.array([0.5, 0.0]), 1).tolist() == [1.0, 0.0]
 
 
-# ------------------------------------------------------------------------------------- queues and memory
+# ------------------------------------------------------------------------------------- queues and caches
 
 
 @pytest.mark.parametrize(("load", "cores"), [(0.5, 1), (0.8, 1), (0.7, 4)])
-def test_waits_in_the_order_of_coming(load: float, cores: int) -> None:
-    """Each wait is the recursion's, and the recursion's mean in the long run is theory's."""
+def test_first_come_first_served_waits(load: float, cores: int) -> None:
+    """Each wait is that of the recursion, whose long-run mean agrees with theory."""
     gap, short = 1.0 / (load * cores), 10_000
-    works = exponential(1, "works", 1.0, LONG)
-    waits = recursion(exponential(1, "gaps", gap, LONG), works, cores)
+    works = exponential(1, "works", 1.0, RECURSION_REQUESTS)
+    waits = recursion(exponential(1, "gaps", gap, RECURSION_REQUESTS), works, cores)
     model = served(MachineConfig(cores=cores, slots=cores, queue=UNBOUNDED), 1, gap, short)
     assert np.allclose(model - works[:short], waits[:short], atol=1e-6)
     assert waits.mean() == pytest.approx(theory.mmc_wait(load * cores, 1.0, cores), rel=0.03)
 
 
 @pytest.mark.parametrize("load", [0.5, 0.8])
-def test_shared_cores(load: float) -> None:
-    """The mean time of processor sharing is that of a queue in order: what the latter is off by chance, with
-    the same draws, is taken from what the former is off.
+def test_processor_sharing_times(load: float) -> None:
+    """The mean sojourn time of processor sharing is that of a first come, first served queue.
+
+    The error of the queue with the same draws is subtracted, to reduce the statistical error.
     """
     count, expected = 30_000, theory.processor_sharing_sojourn(load, 1.0)
     shared = served(MachineConfig(cores=1, slots=UNBOUNDED, queue=0), 2, 1.0 / load, count)
@@ -145,9 +145,9 @@
 
 @pytest.mark.parametrize("part", [0.05, 0.2])
 @pytest.mark.parametrize("exponent", [0.8, 1.0])
-def test_lru_hits(exponent: float, part: float) -> None:
+def test_lru_hit_ratio(exponent: float, part: float) -> None:
     keys, memory, hits = ZipfStream(3, "keys", 2_000, exponent), CacheStore(int(2_000 * part)), 0
-    for number in range(-20_000, 150_000):  # those below 0 fill it
+    for number in range(-20_000, 150_000):  # numbers below 0 fill the cache
         key = keys()
         if memory.get(key, 0.0):
             hits += number >= 0
@@ -157,13 +157,13 @@
     assert hits / 150_000 == pytest.approx(expected, rel=0.02)
 
 
-# ------------------------------------------------------------------------------------------- one server
+# ---------------------------------------------------------------------------------------------- machines
 
 
 def finished(
     shape: MachineConfig, works: list[float], born: float = -inf
 ) -> tuple[Kernel, Machine, dict[float, float]]:
-    """A server with works that came at 0; when each has ended, by its amount."""
+    """Return a server with works that arrived at time 0, and the completion times by amount of work."""
     kernel, ends = Kernel(), dict[float, float]()
     server = Machine(kernel, shape, born)
     for work in works:
@@ -171,7 +171,7 @@
     return kernel, server, ends
 
 
-def test_a_slowed_server_does_less_from_then_on() -> None:
+def test_slowdown_applies_to_running_work() -> None:
     kernel, server, ends = finished(MachineConfig(cores=1, slots=1), [10.0, 5.0])
     kernel.call_at(4.0, lambda: server.set_slowdown(5.0))
     kernel.call_at(14.0, lambda: server.set_slowdown(1.0))
@@ -180,10 +180,10 @@
     assert server.busy_ms == pytest.approx(23.0)
 
 
-def test_crowding_and_sharing() -> None:
+def test_contention_and_sharing() -> None:
     kernel, _, ends = finished(MachineConfig(cores=2, slots=4, contention=0.5), [1.0, 2.0, 3.0])
     kernel.run(100.0)
-    # three on two cores, one beyond them: each at 2/3 / 1.5; then each on a core of its own
+    # three items on two cores, one beyond the cores: rate 2/3 / 1.5 each; then each has a core of its own
     assert ends == {1.0: pytest.approx(2.25), 2.0: pytest.approx(3.25), 3.0: pytest.approx(4.25)}
 
 
@@ -197,8 +197,8 @@
         (5.0, 5.0),
     ],
 )
-def test_a_cold_server_does_what_lies_under_its_ramp(by_work: bool, warm: float, seconds: float) -> None:
-    """Work that is the integral of its capacity up to a time ends at that time."""
+def test_cold_server_completes_work_by_its_warm_up_ramp(by_work: bool, warm: float, seconds: float) -> None:
+    """Work equal to the integral of the capacity up to a time completes at that time."""
     shape = MachineConfig(
         cores=1, slots=1, cold_capacity_share=0.1, warm_up_ms=1000.0 * warm, warm_by_work=by_work
     )
@@ -210,10 +210,8 @@
     assert server.is_cold(kernel.time) is (by_work and seconds < warm)
 
 
-def cold(falls: list[float]) -> tuple[Kernel, Machine, list[float]]:
-    """A server that can do 0.25 of work in a millisecond for ever: its budget is 2250 in 3 s, and used
-    up.
-    """
+def cold(crashed_at: list[float]) -> tuple[Kernel, Machine, list[float]]:
+    """Return a server with a constant capacity of 0.25, whose budget of 2250 in 3 s is used up."""
     kernel, ends = Kernel(), list[float]()
     shape = MachineConfig(
         cores=2,
@@ -224,41 +222,41 @@
         overload_window_ms=3_000.0,
     )
     server = Machine(kernel, shape, 0.0)
-    server.on_overload = lambda: falls.append(kernel.time)
+    server.on_overload = lambda: crashed_at.append(kernel.time)
     for _ in range(3):
         assert server.submit(750.0, lambda: ends.append(kernel.time))
     return kernel, server, ends
 
 
-def test_a_cold_server_falls_when_its_budget_is_passed() -> None:
-    falls: list[float] = []
-    kernel, server, ends = cold(falls)
-    assert server.cold_budget_ms(0.0) == 0.0 and not falls
+def test_cold_server_crashes_beyond_its_budget() -> None:
+    crashed_at: list[float] = []
+    kernel, server, ends = cold(crashed_at)
+    assert server.cold_budget_ms(0.0) == 0.0 and not crashed_at
     kernel.run(2_999.0)
     assert server.submit(0.01, lambda: None) is None
-    assert falls == [2_999.0] and not server.up and server.item_count() == 0
-    assert server.submit(0.01, lambda: None) is None and falls == [2_999.0]
+    assert crashed_at == [2_999.0] and not server.up and server.item_count() == 0
+    assert server.submit(0.01, lambda: None) is None and crashed_at == [2_999.0]
     kernel.run(100_000.0)
-    assert not ends  # all that it had is lost
+    assert not ends  # all work is lost
     server.start()
     assert server.up and server.cold_budget_ms(kernel.time) == 2_250.0
 
 
-def test_what_was_sent_before_its_window_does_not_count() -> None:
-    falls: list[float] = []
-    kernel, server, _ = cold(falls)
+def test_work_before_the_overload_window_does_not_count() -> None:
+    crashed_at: list[float] = []
+    kernel, server, _ = cold(crashed_at)
     kernel.run(3_000.1)
-    assert server.submit(2_249.0, lambda: None) and not falls
-    assert server.submit(2.0, lambda: None) is None and falls
+    assert server.submit(2_249.0, lambda: None) and not crashed_at
+    assert server.submit(2.0, lambda: None) is None and crashed_at
 
 
 @pytest.mark.parametrize("cancels", [False, True])
 def test_cancelled_work(cancels: bool) -> None:
-    """What waits is dropped in any case; what is in work goes on where cancelled work does not stop."""
+    """Waiting work is always dropped; running work continues unless cancelled work stops."""
     kernel, ends = Kernel(), dict[str, float]()
     server = Machine(kernel, MachineConfig(cores=1, slots=1, queue=2, stops_cancelled_work=cancels))
     jobs = [server.submit(10.0, lambda name=name: ends.__setitem__(name, kernel.time)) for name in "abc"]  # type: ignore[misc]
-    assert server.submit(1.0, lambda: None) is None  # a full waiting room turns away
+    assert server.submit(1.0, lambda: None) is None  # a full queue rejects work
     for place in (1, 0):
         job = jobs[place]
         assert job is not None
@@ -273,7 +271,7 @@
 # ----------------------------------------------------------------------------------------- order of events
 
 
-def test_events_of_the_same_moment_come_in_the_order_of_their_making() -> None:
+def test_events_of_the_same_time_run_in_the_order_of_scheduling() -> None:
     kernel, seen = Kernel(), list[str]()
 
     def more() -> None:
@@ -290,8 +288,8 @@
 
 
 @pytest.mark.parametrize("before", [True, False])
-def test_coming_at_the_moment_of_an_end(before: bool) -> None:
-    """Whichever was made first is first: the place is taken still, or free already."""
+def test_arrival_at_the_time_of_a_completion(before: bool) -> None:
+    """The event that was scheduled first runs first: the slot is still taken, or already free."""
     kernel, got = Kernel(), list[bool]()
     server = Machine(kernel, MachineConfig(cores=1, slots=1, queue=0))
     if before:
@@ -319,7 +317,7 @@
 """
 
 
-def test_a_whole_experiment_waits_as_theory_says(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_waits_of_an_experiment_agree_with_theory(monkeypatch: pytest.MonkeyPatch) -> None:
     measures: list[Measure] = []
 
     class RecordedMeasure(Measure):
@@ -337,17 +335,19 @@
     waited, expected = np.mean(measured) - works.mean(), recursion(gaps, works, 1).mean()
     assert len(measured) == len(requests) and run.totals["served_share"] == 1.0 and not run.broken
     assert waited == pytest.approx(expected, rel=1e-4)
-    # what the recursion is off by chance in so short a run is taken away
-    long = recursion(exponential(4, "gaps", 20.0, LONG), exponential(4, "works", 10.0, LONG), 1).mean()
+    # subtract the statistical error of the recursion in this short run
+    long = recursion(
+        exponential(4, "gaps", 20.0, RECURSION_REQUESTS), exponential(4, "works", 10.0, RECURSION_REQUESTS), 1
+    ).mean()
     assert waited - expected + long == pytest.approx(theory.mm1_wait(0.05, 10.0), rel=0.03)
     assert run.totals["node_load"] == pytest.approx(works.sum() / 60_000.0, abs=0.01)
 
 
-Ended = tuple[UpstreamAttempt, float, Result]  # and when
+Ended = tuple[UpstreamAttempt, float, Result]  # attempt, time of its end in milliseconds, and result
 
 
 def played(text: str) -> tuple[Simulation, list[Ended]]:
-    """Return a simulation to be run, and the outcomes of its first router's attempts as they come."""
+    """Return a simulation that has not run, and the list to which its first router adds outcomes."""
     given = experiment.parse_experiment(text, "test")
     simulation = Simulation(
         given, 1, Measure(given), lambda given, seed, _: create_decider("round-robin", given, seed)
@@ -389,20 +389,20 @@
         ', {kind = "restart", at = 1.06, down = 0.2}',
     ],
 )
-def test_a_silent_node_is_known_by_time_outs_only(also: str) -> None:
+def test_silent_node_causes_timeouts_only(also: str) -> None:
     simulation, seen = played(SILENT.replace("for = 9}", "for = 9}" + also))
     node = simulation.cache_nodes()[0]
     node.memory.put(simulation.workload.key_by_rank[0], 1, 0.0)
     simulation.kernel.run(6_000.0)
     ends = {attempt.sent_at: (result, at - attempt.sent_at) for attempt, at, result in seen}
     assert {result for sent, (result, _) in ends.items() if sent < 1_000.0} == {Result.OK}
-    # in hand when it fell silent: nothing until the router's own time-out, which is the deadline
+    # in flight when the node became silent: no outcome until the router's timeout, which is the deadline
     assert ends.pop(1_000.0) == (Result.TIMEOUT, 600.0)
     later = [end for sent, end in ends.items() if sent > 1_000.0]
     assert len(later) == 7 and set(later) == {(Result.CONNECT_FAILED, CONNECT_TIMEOUT_MS)}
 
 
-def test_fetching_through_nodes_routers_know_no_origin() -> None:
+def test_read_through_routers_do_not_use_the_origin() -> None:
     simulation, seen = played(SILENT.split("troubles")[0] + 'mode = "through"')
     simulation.kernel.run(4_000.0)
     assert seen and all(attempt.endpoint_id != simulation.origin.number for attempt, _, _ in seen)
@@ -422,7 +422,7 @@
 """
 
 
-def test_clients_of_a_killed_router_see_a_failure_and_come_back() -> None:
+def test_clients_of_a_killed_router_fail_or_retry() -> None:
     simulation, _ = played(KILLED)
     simulation.kernel.run(999.999)
     held = sum(router.engine.pending_count for router in simulation.routers if router is not None)
@@ -435,12 +435,12 @@
         assert sum(window.in_time + window.failed for window in run.windows) == run.totals["offered"]
 
 
-def test_a_killed_router_sends_nothing_more() -> None:
+def test_killed_router_starts_no_attempts() -> None:
     simulation, _ = played(KILLED)
     dead, sent = simulation.routers[0], list[str]()
     assert dead is not None
     simulation.kernel.run(1_000.0)
-    dead.count_event = sent.append  # it is expected "attempts" at each
+    dead.count_event = sent.append  # called with "attempts" at each attempt
     simulation.kernel.run(9_000.0)
     assert not dead.alive and not sent
 
@@ -479,8 +479,8 @@
 """
 
 
-def test_the_same_seed_gives_the_same_bytes() -> None:
-    """For the real router and for a plain policy, in processes that hash strings differently."""
+def test_same_seed_gives_the_same_bytes() -> None:
+    """Results are the same bytes in processes that hash strings differently."""
     environment = {**os.environ, "PYTHONPATH": str(ROOT)}
     processes = [
         subprocess.Popen(
@@ -502,7 +502,7 @@
 # --------------------------------------------------------------------------------------- the source paper
 
 
-def test_the_papers_figures_come_out_of_its_formulas() -> None:
+def test_formulas_reproduce_the_figures_of_the_paper() -> None:
     lines = list(paper.format_predictions(paper_model.PAPER_SITE))[2:]
     assert len(lines) == len(paper_model.POLICIES)
     for line in lines:
@@ -511,17 +511,17 @@
             assert expected == "-" or float(ours) == pytest.approx(float(expected), rel=0.04), line
 
 
-def test_the_papers_order_of_policies_comes_out() -> None:
-    """On a hundredth of its keys and memories, and with few requests."""
+def test_simulation_reproduces_the_order_of_the_policies() -> None:
+    """The order of the policies is that of the paper, with 1 % of its keys and cache sizes."""
     small = replace(paper_model.PAPER_SITE, keys=100_000, fog_cache=1_000)
     results = list(paper_simulation.run_comparison(1, 6_000, small, (2_000.0,)))
     ranks = paper_model.RankGroups(small)
     assert [row.policy for row in results] == list(paper_model.POLICIES)
-    blind, lfu, lru, roomy = results
-    assert lfu.cost < lru.cost < roomy.cost < 0.6 * blind.cost and lru.cost < 1.1 * lfu.cost
-    assert lfu.fog_share > lru.fog_share > roomy.fog_share > 2.0 * blind.fog_share
-    assert roomy.hit_share > lru.hit_share > blind.hit_share
-    assert roomy.over_share < 0.1 * lru.over_share and roomy.longest_ms < lru.longest_ms
+    blind, lfu, lru, extra_cost = results
+    assert lfu.cost < lru.cost < extra_cost.cost < 0.6 * blind.cost and lru.cost < 1.1 * lfu.cost
+    assert lfu.fog_share > lru.fog_share > extra_cost.fog_share > 2.0 * blind.fog_share
+    assert extra_cost.hit_share > lru.hit_share > blind.hit_share
+    assert extra_cost.over_share < 0.1 * lru.over_share and extra_cost.longest_ms < lru.longest_ms
     for row, line in zip(results, list(paper.format_table(results))[1:], strict=True):
         expected = paper_model.predict(small, ranks, row.rate, row.setting)
         assert expected.time_ms <= small.target_ms and f"{row.cost:.2f}" in line
