--- a/rosepick/lab/policies/base.py
+++ b/rosepick/lab/policies/base.py
@@ -211,7 +211,7 @@
     # ----------------------------------------------------------------------------------- final answers
 
     def _give_up(self, request: PolicyRequest) -> None:
-        """Refuse a request if it was not executed or may be repeated anywhere, otherwise fail it."""
+        """Refuse a request that is not late and whose repeat would be harmless; otherwise fail it."""
         if (request.first_possible_execution is None or request.may_repeat_anywhere) and not self._is_late(
             request
         ):
