--- a/rosepick/lab/model/fault_schedule.py
+++ b/rosepick/lab/model/fault_schedule.py
@@ -43,7 +43,7 @@
     injectors = {**_INJECTORS, **extra_injectors}
     faults = simulation.experiment.troubles
     errors = [
-        f"troubles[{index}].kind {fault.kind!r} is played with --live only"
+        f"troubles[{index}].kind {fault.kind!r} can be injected with --live only"
         for index, fault in enumerate(faults)
         if fault.kind not in injectors
     ]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -231,7 +231,7 @@
     assert run.broken == []
     for kind in live_faults.LIVE_FAULT_INJECTORS:
         given = experiment.parse_experiment(f'{SMALL}troubles = [{{kind = "{kind}", at = 1}}]', "f")
-        with pytest.raises(ExperimentError, match=f"kind '{kind}' is played with --live only"):
+        with pytest.raises(ExperimentError, match=f"kind '{kind}' can be injected with --live only"):
             sim.run_simulated(given, 1, "rosepick", {})
 
 
--- a/tests/test_lab_theory.py
+++ b/tests/test_lab_theory.py
@@ -346,7 +346,7 @@
 Ended = tuple[UpstreamAttempt, float, Result]  # attempt, time of its end in milliseconds, and result
 
 
-def played(text: str) -> tuple[Simulation, list[Ended]]:
+def record_outcomes(text: str) -> tuple[Simulation, list[Ended]]:
     """Return a simulation that has not run, and the list to which its first router adds outcomes."""
     given = experiment.parse_experiment(text, "test")
     simulation = Simulation(
@@ -390,7 +390,7 @@
     ],
 )
 def test_silent_node_causes_timeouts_only(also: str) -> None:
-    simulation, seen = played(SILENT.replace("for = 9}", "for = 9}" + also))
+    simulation, seen = record_outcomes(SILENT.replace("for = 9}", "for = 9}" + also))
     node = simulation.cache_nodes()[0]
     node.memory.put(simulation.workload.key_by_rank[0], 1, 0.0)
     simulation.kernel.run(6_000.0)
@@ -403,7 +403,7 @@
 
 
 def test_read_through_routers_do_not_use_the_origin() -> None:
-    simulation, seen = played(SILENT.split("troubles")[0] + 'mode = "through"')
+    simulation, seen = record_outcomes(SILENT.split("troubles")[0] + 'mode = "through"')
     simulation.kernel.run(4_000.0)
     assert seen and all(attempt.endpoint_id != simulation.origin.number for attempt, _, _ in seen)
 
@@ -423,7 +423,7 @@
 
 
 def test_clients_of_a_killed_router_fail_or_retry() -> None:
-    simulation, _ = played(KILLED)
+    simulation, _ = record_outcomes(KILLED)
     simulation.kernel.run(999.999)
     held = sum(router.engine.pending_count for router in simulation.routers if router is not None)
     assert held > 2
@@ -436,7 +436,7 @@
 
 
 def test_killed_router_starts_no_attempts() -> None:
-    simulation, _ = played(KILLED)
+    simulation, _ = record_outcomes(KILLED)
     dead, sent = simulation.routers[0], list[str]()
     assert dead is not None
     simulation.kernel.run(1_000.0)
