--- a/rosepick/lab/scale/__init__.py
+++ b/rosepick/lab/scale/__init__.py
@@ -1,5 +1,5 @@
-"""Real routers beside thousands of stand-in cache nodes: does each request get its final answer in time?
+"""Scale test: real routers with thousands of stand-in cache nodes must give each final answer in time.
 
-Nodes share a few listening sockets, as a machine has not room for thousands of processes. What a router does
-for each node is the same: its own entry in the list, its own connections, its own state.
+The nodes share a few listening sockets, because one machine cannot run thousands of processes. A router still
+handles each node separately, with its own entry in the endpoint list, its own connections and its own state.
 """
--- a/rosepick/lab/scale/fleet_process.py
+++ b/rosepick/lab/scale/fleet_process.py
@@ -1,8 +1,8 @@
-"""The stand-ins of a scale run: cache nodes, origin and discovery in one process.
+"""The stand-ins of a scale run: cache nodes, origin and discovery service in one process.
 
-Reads the plan as the first line of its input and writes its ports. Each further line is
-`{"begin_s", "unix_ms"}`: when the run begins, by the monotonic clock and as Unix time. Writes a `FleetRecord`
-once its input ends.
+The process reads the plan as the first line of its input and writes its ports. Each further line is
+`{"begin_s", "unix_ms"}`, the begin of the run by the monotonic clock (seconds) and as Unix time
+(milliseconds). The process writes a `FleetRecord` when its input ends.
 """
 
 from __future__ import annotations
@@ -18,35 +18,35 @@
 
 from ..live.helper_process import raise_descriptor_limit
 from ..live.request_reader import HttpRequest
-from .http_peer import HttpPeer, serve
+from .http_peer import HttpConnection, serve
 from .scale_plan import NODE_LISTENERS, EndpointTimeline, ScalePlan, plan_from_document
 
 HEARTBEAT_S = 0.01
-MIN_LATE_S = 0.03  # a loop that stood still for less is not late
+MIN_PAUSE_S = 0.03  # shorter pauses of the loop are not recorded
 ORIGIN_SERVICE_S = 0.02
 VALUE = b"v" * 200
 
 
 @dataclass(slots=True)
 class FleetRecord:
-    """What the stand-ins saw. Times are seconds since the run's begin."""
+    """What the stand-ins recorded. Times are in seconds since the begin of the run."""
 
-    attempts: list[tuple[str, float]] = field(default_factory=list)  # Req-Id, when the request arrived
+    attempts: list[tuple[str, float]] = field(default_factory=list)  # Req-Id and arrival time
     list_answers: int = 0
 
 
 async def watch_lateness(begin_s: float, late_periods: list[tuple[float, float]]) -> None:
-    """Record the periods in which this process's loop stood still, in seconds of the run."""
+    """Record the periods in which the loop of this process did not run, in seconds of the run."""
     while True:
         began_at = time.monotonic()
         await asyncio.sleep(HEARTBEAT_S)
         now = time.monotonic()
-        if now - began_at - HEARTBEAT_S > MIN_LATE_S:
+        if now - began_at - HEARTBEAT_S > MIN_PAUSE_S:
             late_periods.append((began_at - begin_s, now - begin_s))
 
 
 class Fleet:
-    """All stand-ins of one run."""
+    """Serves all stand-ins of one run."""
 
     def __init__(self, plan: ScalePlan) -> None:
         self.plan = plan
@@ -57,57 +57,63 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def now_s(self) -> float:
-        """Return the time of the run; negative before its begin."""
+        """Return the seconds since the begin of the run; negative before it."""
         return time.monotonic() - self.begin_s
 
     def _record_attempt(self, request: HttpRequest) -> None:
         self.record.attempts.append((request.header_text(b"req-id"), self.now_s()))
 
-    def answer_at_node(self, peer: HttpPeer, request: HttpRequest) -> None:
-        """Answer as a cache node: the key itself says whether it is a hit."""
+    def answer_at_node(self, connection: HttpConnection, request: HttpRequest) -> None:
+        """Answer as a cache node; a hash of the request target decides between hit and miss."""
         self._record_attempt(request)
         if self._rng.random() < self.plan.hang_share:
             return
         is_hit = crc32(request.target) % 1000 < 1000 * self.plan.hit_share
-        reply = (200, VALUE) if is_hit else (404, b"")
-        asyncio.get_running_loop().call_later(self.plan.service_s, peer.respond, *reply)
+        response = (200, VALUE) if is_hit else (404, b"")
+        asyncio.get_running_loop().call_later(self.plan.service_s, connection.respond, *response)
 
-    def answer_at_origin(self, peer: HttpPeer, request: HttpRequest) -> None:
-        """Answer as the origin, which has every key."""
+    def answer_at_origin(self, connection: HttpConnection, request: HttpRequest) -> None:
+        """Answer as the origin, which has the value of every key."""
         self._record_attempt(request)
-        asyncio.get_running_loop().call_later(ORIGIN_SERVICE_S, peer.respond, 200, VALUE)
+        asyncio.get_running_loop().call_later(ORIGIN_SERVICE_S, connection.respond, 200, VALUE)
 
-    def answer_list(self, peer: HttpPeer, request: HttpRequest) -> None:
-        """Answer as discovery."""
-        task = asyncio.get_running_loop().create_task(self._answer_list(peer, request.target.decode()))
+    def answer_discovery(self, connection: HttpConnection, request: HttpRequest) -> None:
+        """Answer as the discovery service, in a task because a long poll may have to wait."""
+        task = asyncio.get_running_loop().create_task(self._answer_poll(connection, request.target.decode()))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _answer_list(self, peer: HttpPeer, target: str) -> None:
+    async def _answer_poll(self, connection: HttpConnection, target: str) -> None:
         query = parse_qs(urlsplit(target).query)
         timeline = self.timeline
         if timeline is None:
-            peer.respond(503)
+            connection.respond(503)
             return
-        give_up_at = self.now_s() + float(query.get("wait_ms", ["0"])[0]) / 1000.0
-        after = int(query["after"][0]) if "after" in query else None
-        while after is not None and timeline.revision_at(self.now_s()) <= after and self.now_s() < give_up_at:
+        poll_ends_at = self.now_s() + float(query.get("wait_ms", ["0"])[0]) / 1000.0
+        after_revision = int(query["after"][0]) if "after" in query else None
+        while (
+            after_revision is not None
+            and timeline.revision_at(self.now_s()) <= after_revision
+            and self.now_s() < poll_ends_at
+        ):
             await asyncio.sleep(HEARTBEAT_S)
         revision = timeline.revision_at(self.now_s())
-        is_delta = after is not None and timeline.FIRST_REVISION <= after <= revision
+        is_delta = after_revision is not None and timeline.FIRST_REVISION <= after_revision <= revision
         document = (
-            timeline.delta_document(after or 0, revision) if is_delta else timeline.full_document(revision)
+            timeline.delta_document(after_revision or 0, revision)
+            if is_delta
+            else timeline.full_document(revision)
         )
         self.record.list_answers += 1
-        peer.respond(200, json.dumps(document).encode())
+        connection.respond(200, json.dumps(document).encode())
 
 
 async def run(plan: ScalePlan) -> None:
-    """Serve until the input ends."""
+    """Serve until the input ends, then write the record."""
     fleet = Fleet(plan)
     node_ports = [await serve(fleet.answer_at_node) for _ in range(NODE_LISTENERS)]
     origin_port = await serve(fleet.answer_at_origin)
-    discovery_port = await serve(fleet.answer_list)
+    discovery_port = await serve(fleet.answer_discovery)
     print(json.dumps({"nodes": node_ports, "origin": origin_port, "discovery": discovery_port}), flush=True)
     while line := await asyncio.to_thread(sys.stdin.readline):
         begin = json.loads(line)
@@ -117,7 +123,7 @@
 
 
 def main() -> None:
-    """Read the plan and serve."""
+    """Read the plan from standard input and serve."""
     raise_descriptor_limit()
     asyncio.run(run(plan_from_document(json.loads(sys.stdin.readline()))))
 
--- a/rosepick/lab/scale/load_process.py
+++ b/rosepick/lab/scale/load_process.py
@@ -1,7 +1,8 @@
 """The clients of a scale run: an open loop of requests to each router.
 
-Reads `{"plan", "ports", "begin_s"}` as a line, plays all requests, and writes a `LoadRecord`. A client waits
-for its deadline and `LATE_ANSWER_S`, then leaves; so an answer that it never got is a lost one.
+The process reads `{"plan", "ports", "begin_s"}` as one line, plays all requests and writes a `LoadRecord`. A
+client waits until `LATE_ANSWER_S` after its deadline and then leaves; a request without an answer by then is
+lost.
 """
 
 from __future__ import annotations
@@ -18,35 +19,37 @@
 from .fleet_process import watch_lateness
 from .scale_plan import KILL_AFTER_DEADLINE_S, ScalePlan, plan_from_document
 
-LATE_ANSWER_S = 0.5  # after its deadline an answer earns nothing, but the request is not lost
+# How long clients wait after the deadline. A late answer has no value, but the request is not lost.
+LATE_ANSWER_S = 0.5
 IDLE_CLIENT_PAUSE_S = 0.5
-FRONT_DELAY_S = 0.4  # from SIGTERM until no new connection comes; those that are open are used on
+# Time from SIGTERM until the load balancer opens no new connections. Open connections stay in use.
+LOAD_BALANCER_DELAY_S = 0.4
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request. Times are seconds since the run's begin."""
+    """How one request ended. Times are in seconds since the begin of the run."""
 
     request_id: str
     router: int
     sent_s: float
     ended_s: float = 0.0
-    is_resent: bool = False  # as its connection had been closed between requests
+    is_resent: bool = False  # because the router had closed the connection between two requests
     outcome: str = "lost"  # served, late, refused, failed, unreachable, broken or lost
 
 
 @dataclass(slots=True)
 class LoadRecord:
-    """What the clients saw."""
+    """What the clients recorded. Times are in seconds."""
 
     requests: list[RequestRecord] = field(default_factory=list)
     max_send_late_s: float = 0.0
-    late_periods: list[tuple[float, float]] = field(default_factory=list)  # in which this process stood still
+    late_periods: list[tuple[float, float]] = field(default_factory=list)  # in which this process did not run
 
 
 class RouterClients:
-    """The clients of one router, with their connections."""
+    """The clients of one router, with a pool of their connections."""
 
     def __init__(self, plan: ScalePlan, index: int, port: int, begin_s: float, record: LoadRecord) -> None:
         self.plan = plan
@@ -58,22 +61,22 @@
         self._rng = random.Random(plan.seed * 1000 + index)
 
     def now_s(self) -> float:
-        """Return the time of the run."""
+        """Return the seconds since the begin of the run."""
         return time.monotonic() - self.begin_s
 
     async def play(self) -> None:
-        """Send all requests when they are due, and wait for their ends."""
+        """Send each request when it is due, and wait until all have ended."""
         tasks: list[asyncio.Task[None]] = []
         due_s = 0.0
         while due_s < self.plan.length_s:
             await asyncio.sleep(max(0.0, due_s - self.now_s()))
             self.record.max_send_late_s = max(self.record.max_send_late_s, self.now_s() - due_s)
-            tasks.append(asyncio.get_running_loop().create_task(self._request(len(tasks))))
+            tasks.append(asyncio.get_running_loop().create_task(self._play_request(len(tasks))))
             due_s += self._rng.expovariate(self.plan.rate)
         await asyncio.gather(*tasks)
 
     async def hold_idle_connection(self) -> None:
-        """Keep a connection open that sends nothing; open it again some time after its end."""
+        """Keep a connection open that sends nothing; reopen it `IDLE_CLIENT_PAUSE_S` after it ends."""
         while True:
             with contextlib.suppress(OSError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -81,28 +84,28 @@
                 writer.close()
             await asyncio.sleep(IDLE_CLIENT_PAUSE_S)
 
-    async def _request(self, number: int) -> None:
-        key = int(self.plan.keys * self._rng.random() ** 3)  # the first keys are popular
+    async def _play_request(self, number: int) -> None:
+        key = int(self.plan.keys * self._rng.random() ** 3)  # low numbers are popular keys
         request = RequestRecord(f"{self.index:04x}{number:012x}", self.index, self.now_s())
         self.record.requests.append(request)
         was_idle = bool(self._idle)
-        await self._try(request, f"k{key}", self._idle.pop() if was_idle else None)
+        await self._send_request(request, f"k{key}", self._idle.pop() if was_idle else None)
         if request.outcome == "broken" and was_idle:
-            # the router closed it between requests, before it read this one: that is sent once more
+            # The router closed the idle connection before it read this request, so it may be sent again.
             request.is_resent = True
-            await self._try(request, f"k{key}", None)
+            await self._send_request(request, f"k{key}", None)
 
-    def _is_warned(self) -> bool:
-        """Return whether the front has taken the router out, as it gets or got SIGTERM and is not back."""
-        waits_s = self.plan.deadline_s + KILL_AFTER_DEADLINE_S
+    def _is_out_of_rotation(self) -> bool:
+        """Return whether the load balancer sends the router no new connections because of a SIGTERM."""
+        kill_delay_s = self.plan.deadline_s + KILL_AFTER_DEADLINE_S
         return any(
-            sigterm_s + FRONT_DELAY_S <= self.now_s() <= sigterm_s + waits_s
+            sigterm_s + LOAD_BALANCER_DELAY_S <= self.now_s() <= sigterm_s + kill_delay_s
             for sigterm_s in self.plan.sigterm_times(self.index)
         )
 
-    async def _try(self, request: RequestRecord, key: str, streams: Streams | None) -> None:
-        """Send a request on a connection that is idle, or on a new one, and record its end."""
-        if streams is None and self._is_warned():
+    async def _send_request(self, request: RequestRecord, key: str, streams: Streams | None) -> None:
+        """Send a request on an idle connection, or on a new one if `streams` is None; record its outcome."""
+        if streams is None and self._is_out_of_rotation():
             request.outcome = "unreachable"
             return
         try:
@@ -113,9 +116,9 @@
             return
         if not request.is_resent:
             request.sent_s = self.now_s()
-        waits_s = self.plan.deadline_s + LATE_ANSWER_S - (self.now_s() - request.sent_s)
+        timeout_s = self.plan.deadline_s + LATE_ANSWER_S - (self.now_s() - request.sent_s)
         try:
-            async with asyncio.timeout(waits_s):
+            async with asyncio.timeout(timeout_s):
                 request.outcome = await self._exchange(streams, request, key)
         except TimeoutError:
             request.outcome = "lost"
@@ -145,24 +148,24 @@
 
 
 async def run(plan: ScalePlan, ports: list[int], begin_s: float) -> LoadRecord:
-    """Play all requests to all routers."""
+    """Play the requests of all routers and return the record."""
     record = LoadRecord()
     await asyncio.sleep(max(0.0, begin_s - time.monotonic()))
     heartbeat = asyncio.get_running_loop().create_task(watch_lateness(begin_s, record.late_periods))
     clients = [RouterClients(plan, index, port, begin_s, record) for index, port in enumerate(ports)]
     loop = asyncio.get_running_loop()
-    crowd = [
+    idle_clients = [
         loop.create_task(each.hold_idle_connection()) for each in clients for _ in range(plan.idle_clients)
     ]
     await asyncio.gather(*(each.play() for each in clients))
-    for task in (heartbeat, *crowd):
+    for task in (heartbeat, *idle_clients):
         task.cancel()
-    await asyncio.gather(heartbeat, *crowd, return_exceptions=True)
+    await asyncio.gather(heartbeat, *idle_clients, return_exceptions=True)
     return record
 
 
 def main() -> None:
-    """Read what to play, play it and write the record."""
+    """Read the plan and the ports from standard input, play the load and write the record."""
     raise_descriptor_limit()
     message = json.loads(sys.stdin.readline())
     plan = plan_from_document(message["plan"])
--- a/rosepick/lab/scale/processor_slices.py
+++ b/rosepick/lab/scale/processor_slices.py
@@ -1,4 +1,4 @@
-"""Holds processes to a part of the time, by stopping and continuing them; needs no special rights."""
+"""Limits the CPU time of processes with SIGSTOP and SIGCONT, which needs no special rights."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 import time
 from collections.abc import Callable, Iterable
 
-PERIOD_S = 0.1  # the longest stop is shorter than the 0.15 s for which a router may be held up
+PERIOD_S = 0.1  # a stop is shorter than this, so it stays below the 0.15 s that a router may be paused
 
 
-class ProcessorSlices:
-    """A thread that lets processes run for a share of each period.
+class CpuThrottle:
+    """Lets processes run for only a share of each period, from a thread.
 
     Args:
-        share: the part of the time, over 0 to 1; with 1 nothing is stopped.
-        pids: returns the processes that run at the moment.
+        share: The share of the time, greater than 0 and at most 1; with 1 nothing is stopped.
+        pids: Returns the ids of the processes that run at the moment.
     """
 
     def __init__(self, share: float, pids: Callable[[], Iterable[int]]) -> None:
@@ -28,12 +28,12 @@
         self.longest_stop_s = 0.0
 
     def start(self) -> None:
-        """Begin, unless the share is 1."""
+        """Start the thread, unless the share is 1."""
         if self._share < 1.0:
             self._thread.start()
 
     def close(self) -> None:
-        """End, and let all processes run."""
+        """End the thread; all processes run again."""
         self._ended.set()
         if self._thread.is_alive():
             self._thread.join()
@@ -48,11 +48,11 @@
             self._ended.wait(PERIOD_S * self._share)
 
     @staticmethod
-    def _signal(pids: Iterable[int], number: int) -> list[int]:
-        """Signal processes; return those that are there."""
-        found = []
+    def _signal(pids: Iterable[int], signal_number: int) -> list[int]:
+        """Send a signal to processes; return the ids of those that exist."""
+        signalled = []
         for pid in pids:
             with contextlib.suppress(ProcessLookupError):
-                os.kill(pid, number)
-                found.append(pid)
-        return found
+                os.kill(pid, signal_number)
+                signalled.append(pid)
+        return signalled
--- a/rosepick/lab/scale/scale_run.py
+++ b/rosepick/lab/scale/scale_run.py
@@ -1,4 +1,4 @@
-"""Plays a scale plan on real routers: is each request answered in time, and sent no more after its end?"""
+"""Plays a scale plan on real routers and checks that no request is lost or sent after its final answer."""
 
 from __future__ import annotations
 
@@ -26,54 +26,55 @@
 from ..live.router_process import LiveRouter
 from .fleet_process import HEARTBEAT_S
 from .load_process import LATE_ANSWER_S, LoadRecord, RequestRecord
-from .processor_slices import ProcessorSlices
+from .processor_slices import CpuThrottle
 from .scale_plan import KILL_AFTER_DEADLINE_S, ZONE_NAMES, EndpointTimeline, RouterSignals, ScalePlan
 
-SERVE_ARGUMENTS = ("--capture",)  # as in service
+SERVE_ARGUMENTS = ("--capture",)  # as in production
 READY_TIMEOUT_S = 30.0
 START_DELAY_S = 0.3
 POLL_INTERVAL_S = 0.005
 READY_POLL_INTERVAL_S = 0.05
-RESTART_DELAY_S = 0.2  # from a kill after a warning until the next process
-MAX_RIG_LATE_S = 0.25  # a run in which the rig itself was later says nothing
-MAX_HOLD_UP_S = 0.15  # for which the terms let a router be held up
-AFTER_END_S = 0.1  # an attempt that begins later than this after its request's end is a violation
+RESTART_DELAY_S = 0.2  # from the SIGKILL that follows a SIGTERM to the start of the next process
+MAX_RIG_LATE_S = 0.25  # a run whose test rig was later than this is void
+MAX_HOLD_UP_S = 0.15  # a run whose routers were stopped for longer is void
+# An attempt that arrives later than this after the end of its request is a violation.
+MAX_SEND_AFTER_END_S = 0.1
 LOST_OUTCOMES = ("lost", "broken")
 
 
 @dataclass(slots=True)
 class ScaleResult:
-    """What came of a run."""
+    """Outcomes, violations and resource usage of a run."""
 
     outcomes: Counter[str]
     lost: list[RequestRecord]
-    downtimes: list[list[tuple[float, float]]]  # by router, in seconds of the run
-    sent_after_end: int  # attempts
-    by_second: dict[int, Counter[str]]  # outcomes by the second of the request
-    router_cpu_s: float  # of the processes that still ran at the end
-    router_memory_mb: float  # the largest of them, at the end
+    downtimes: list[list[tuple[float, float]]]  # of each router, in seconds of the run
+    sent_after_end: int  # attempts that arrived after the end of their request
+    by_second: dict[int, Counter[str]]  # outcomes by the second in which the request was sent
+    router_cpu_s: float  # of the processes that ran at the end
+    router_memory_mb: float  # of the largest of these processes, at the end
     rig_late_s: float
-    void: str  # why the run says nothing; empty if it does
-    events: Counter[str]  # of the routers' logs
-    unanswered_closes: int  # of connections that were owed an answer, by the router itself, by its log
+    void: str  # why the run is void; empty if it is valid
+    events: Counter[str]  # of the routers' logs, by name
+    unanswered_closes: int  # connections that a router closed by choice before their answer, from its log
     logs: list[str]
 
     def is_broken(self) -> bool:
-        """Return whether a rule was broken."""
+        """Return whether a request was lost, an attempt came after the end, or an invariant was violated."""
         return bool(
             self.lost or self.sent_after_end or self.unanswered_closes or self.events["invariant_violated"]
         )
 
     def lost_lines(self) -> list[str]:
-        """Return a line for each lost request, with when its router was down."""
+        """Return a line for each lost request, with the downtimes of its router."""
         return [
-            f"{one.request_id} at router-{one.router}: {one.outcome}, sent {one.sent_s:.4f}, "
-            f"ended {one.ended_s:.4f}, router down {self.downtimes[one.router]}"
-            for one in self.lost
+            f"{request.request_id} at router-{request.router}: {request.outcome}, sent {request.sent_s:.4f}, "
+            f"ended {request.ended_s:.4f}, router down {self.downtimes[request.router]}"
+            for request in self.lost
         ]
 
     def line(self) -> str:
-        """Return the figures as one line."""
+        """Return the result as one line."""
         outcomes = " ".join(f"{name} {number}" for name, number in sorted(self.outcomes.items()))
         parts = [
             outcomes,
@@ -86,7 +87,7 @@
 
 
 class StandInProcess:
-    """A process of the rig that talks JSON lines on its standard input and output."""
+    """A process of the test rig, with JSON lines on its standard input and output."""
 
     def __init__(self, module: str, message: dict[str, Any]) -> None:
         self._popen = subprocess.Popen(
@@ -100,24 +101,24 @@
         self.send(message)
 
     def send(self, message: dict[str, Any]) -> None:
-        """Send a line."""
+        """Send a message as one line."""
         assert self._popen.stdin is not None
         self._popen.stdin.write(json.dumps(message) + "\n")
         self._popen.stdin.flush()
 
     def receive(self) -> dict[str, Any]:
-        """Wait for a line."""
+        """Wait for a line and return its message."""
         assert self._popen.stdout is not None
         received: dict[str, Any] = json.loads(self._popen.stdout.readline())
         return received
 
     def end_input(self) -> None:
-        """Tell the process that nothing more comes."""
+        """Close the input of the process, which makes it write its record."""
         assert self._popen.stdin is not None
         self._popen.stdin.close()
 
     def close(self) -> None:
-        """End the process."""
+        """Kill the process and close its streams."""
         self._popen.kill()
         self._popen.wait()
         for stream in (self._popen.stdin, self._popen.stdout):
@@ -126,7 +127,7 @@
 
 
 def experiment_for(plan: ScalePlan) -> Experiment:
-    """Return the experiment whose settings the routers of a plan get."""
+    """Return the experiment from which the routers of a plan get their settings."""
     return parse_experiment(
         f"""
         name = "scale"
@@ -144,7 +145,7 @@
 
 
 class ScaleRun:
-    """The processes of one run."""
+    """Starts the processes of one run, plays its faults and collects the result."""
 
     def __init__(self, plan: ScalePlan, folder: Path) -> None:
         self.plan = plan
@@ -161,36 +162,36 @@
             router = LiveRouter(experiment, index, plan.seed, folder, self._ports["discovery"])
             router.process_start = ProcessStart(arguments=SERVE_ARGUMENTS)
             self.routers.append(router)
-        self._timeline: list[tuple[float, int, Callable[[], None]]] = []
+        self._scheduled_faults: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = count()
-        self._slices = ProcessorSlices(plan.cpu_share, self._router_pids)
+        self._cpu_throttle = CpuThrottle(plan.cpu_share, self._router_pids)
 
     def _router_pids(self) -> list[int]:
         processes = [process for router in self.routers for process in router.processes]
         return [process.pid for process in processes if not process.has_ended()]
 
-    def _lists(self) -> EndpointTimeline:
+    def _endpoint_timeline(self) -> EndpointTimeline:
         return EndpointTimeline(self.plan, self._ports["nodes"], self._ports["origin"], self.unix_ms)
 
     def _begin_in(self, delay_s: float) -> None:
-        """Let the run begin after so many seconds, for the stand-ins as well."""
+        """Set the begin of the run to `delay_s` seconds from now, also in the stand-ins."""
         self.begin_s = time.monotonic() + delay_s
         self.unix_ms = 1000.0 * (time.time() + delay_s)
         self.fleet.send({"begin_s": self.begin_s, "unix_ms": self.unix_ms})
 
     def now_s(self) -> float:
-        """Return the time of the run."""
+        """Return the seconds since the begin of the run."""
         return time.monotonic() - self.begin_s
 
     def set_up(self) -> None:
-        """Start all routers and the clients, and wait until the routers serve.
+        """Start all routers, wait until they serve, start the clients and schedule the faults.
 
         Raises:
-            TimeoutError: a router does not serve.
+            TimeoutError: A router does not serve within `READY_TIMEOUT_S`.
         """
-        self._begin_in(READY_TIMEOUT_S)  # the list stays as it is meanwhile
+        self._begin_in(READY_TIMEOUT_S)  # the endpoint list does not change before the begin
         for router in self.routers:
-            router.start(self._lists().full_document(EndpointTimeline.FIRST_REVISION))
+            router.start(self._endpoint_timeline().full_document(EndpointTimeline.FIRST_REVISION))
         deadline = time.monotonic() + READY_TIMEOUT_S
         while not all(router.is_serving() for router in self.routers):
             if time.monotonic() >= deadline:
@@ -216,56 +217,57 @@
             first_s = series.at_s + series.names.index("SIGTERM") * series.spacing_s
             kill_s = first_s + self.plan.deadline_s + KILL_AFTER_DEADLINE_S
             self._schedule(kill_s, partial(self._signal, router, signal.SIGKILL))
-            self._schedule(kill_s + RESTART_DELAY_S, partial(self._start_with_present_list, router))
+            self._schedule(kill_s + RESTART_DELAY_S, partial(self._start_with_current_list, router))
 
     @staticmethod
     def _signal(router: LiveRouter, number: int) -> None:
-        """Signal a router; what it owes then is lost, unlike at a kill without a warning."""
+        """Signal a router; unlike after `_kill`, a request without an answer counts as lost."""
         router.processes[-1].signal(number)
 
-    def _start_with_present_list(self, router: LiveRouter) -> None:
-        lists = self._lists()
-        router.start(lists.full_document(lists.revision_at(self.now_s())))
+    def _start_with_current_list(self, router: LiveRouter) -> None:
+        timeline = self._endpoint_timeline()
+        router.start(timeline.full_document(timeline.revision_at(self.now_s())))
 
     def _schedule(self, at_s: float, callback: Callable[[], None]) -> None:
-        heapq.heappush(self._timeline, (at_s, next(self._sequence), callback))
+        heapq.heappush(self._scheduled_faults, (at_s, next(self._sequence), callback))
 
     def _kill(self, routers: list[LiveRouter]) -> None:
         for router in routers:
-            self.downtimes[router.index].append((self.now_s(), inf))  # before it: clients see the end at once
+            # Recorded before the kill, because clients notice the kill at once.
+            self.downtimes[router.index].append((self.now_s(), inf))
             router.processes[-1].signal(signal.SIGKILL)
 
     def _restart(self, routers: list[LiveRouter]) -> None:
-        """Start routers again, with the list that they had when they were killed."""
-        lists = self._lists()
+        """Start routers again, with the endpoint list at the time of their kill."""
+        timeline = self._endpoint_timeline()
         for router in routers:
             killed_s = self.downtimes[router.index][-1][0]
             self.downtimes[router.index][-1] = killed_s, self.now_s()
-            router.start(lists.full_document(lists.revision_at(killed_s)))
+            router.start(timeline.full_document(timeline.revision_at(killed_s)))
 
     def run_to_end(self) -> None:
-        """Play the faults, and wait until the clients are done."""
-        self._slices.start()
+        """Play the scheduled faults, and wait until the clients have ended."""
+        self._cpu_throttle.start()
         end_s = self.plan.length_s + self.plan.deadline_s + LATE_ANSWER_S
         while self.now_s() < end_s:
-            while self._timeline and self._timeline[0][0] <= self.now_s():
-                due_s, _, callback = heapq.heappop(self._timeline)
+            while self._scheduled_faults and self._scheduled_faults[0][0] <= self.now_s():
+                due_s, _, callback = heapq.heappop(self._scheduled_faults)
                 callback()
                 self.fault_late_s = max(self.fault_late_s, self.now_s() - due_s)
             time.sleep(POLL_INTERVAL_S)
 
     def result(self) -> ScaleResult:
-        """Return what came of the run."""
+        """Collect the records of the processes and return the result."""
         assert self.clients is not None
         load = _load_record(self.clients.receive())
         self.fleet.end_input()
         fleet = self.fleet.receive()
-        self._slices.close()
+        self._cpu_throttle.close()
         logs = [router.log_file.read_text("utf-8", "replace") for router in self.routers]
-        late_s = max(
+        rig_late_s = max(
             [load.max_send_late_s, self.fault_late_s, *(end - begin for begin, end in load.late_periods)]
         )
-        held_up_s = self._slices.longest_stop_s
+        longest_stop_s = self._cpu_throttle.longest_stop_s
         lost = [request for request in load.requests if self._is_lost(request, load.late_periods)]
         by_second: dict[int, Counter[str]] = {}
         for request in load.requests:
@@ -280,8 +282,8 @@
                 process.cpu_so_far_s() for router in self.routers for process in router.processes
             ),
             router_memory_mb=self._sample_memory_mb(),
-            rig_late_s=late_s,
-            void=_void_reason(late_s, held_up_s),
+            rig_late_s=rig_late_s,
+            void=_void_reason(rig_late_s, longest_stop_s),
             events=Counter(
                 parse_log_fields(line).get("event", "") for log in logs for line in log.splitlines()
             ),
@@ -290,23 +292,23 @@
         )
 
     def _sample_memory_mb(self) -> float:
-        """Return the largest memory of a router."""
+        """Return the memory of the largest router, in MB."""
         for router in self.routers:
-            router.signal(0)  # which takes a sample
+            router.signal(0)  # has the side effect of taking a sample
         return max(router.memory_mb() for router in self.routers)
 
     def _is_lost(self, request: RequestRecord, late_periods: list[tuple[float, float]]) -> bool:
-        """Return whether a request was lost by its router, and not by a kill or by clients that were late."""
+        """Return whether its router lost a request, rather than a kill or a pause of the client process."""
         if request.outcome not in LOST_OUTCOMES:
             return False
         if any(begin <= request.ended_s <= end + HEARTBEAT_S for begin, end in late_periods):
-            return False  # its answer may have waited at the client
+            return False  # the answer may have arrived while the client process did not run
         downtimes = self.downtimes[request.router]
         return not any(begin <= request.ended_s and request.sent_s <= end for begin, end in downtimes)
 
     def close(self) -> None:
-        """End all processes."""
-        self._slices.close()
+        """Kill all processes."""
+        self._cpu_throttle.close()
         for router in self.routers:
             router.signal(signal.SIGCONT)
             router.kill()
@@ -316,17 +318,17 @@
                 process.close()
 
 
-def _void_reason(late_s: float, held_up_s: float) -> str:
-    """Return why a run says nothing; empty if it does."""
-    if late_s > MAX_RIG_LATE_S:
-        return f"the rig was {late_s:.2f} s late"
-    if held_up_s > MAX_HOLD_UP_S:
-        return f"routers were stopped for {held_up_s:.2f} s"
+def _void_reason(rig_late_s: float, longest_stop_s: float) -> str:
+    """Return why a run is void; empty if it is valid."""
+    if rig_late_s > MAX_RIG_LATE_S:
+        return f"the rig was {rig_late_s:.2f} s late"
+    if longest_stop_s > MAX_HOLD_UP_S:
+        return f"routers were stopped for {longest_stop_s:.2f} s"
     return ""
 
 
 def _count_unanswered_closes(log: str) -> int:
-    """Return how many lines of a log tell of a close that took an answer away, at the router's own will."""
+    """Return how many lines of a log report a close by the router's own choice before the answer."""
     lines = [parse_log_fields(line) for line in log.splitlines() if "connection_closed_unanswered" in line]
     own_reasons = {reason.value for reason in CLOSES_AT_OWN_WILL}
     return sum(fields.get("reason") in own_reasons for fields in lines)
@@ -339,16 +341,16 @@
 
 
 def _sent_after_end(load: LoadRecord, attempts: list[tuple[str, float]]) -> int:
-    """Return how many attempts arrived at a stand-in after the end of their request and `AFTER_END_S`."""
+    """Return how many attempts arrived more than `MAX_SEND_AFTER_END_S` after the end of their request."""
     ended_s = {request.request_id: request.ended_s for request in load.requests if request.ended_s}
-    return sum(at_s > ended_s.get(request_id, inf) + AFTER_END_S for request_id, at_s in attempts)
+    return sum(at_s > ended_s.get(request_id, inf) + MAX_SEND_AFTER_END_S for request_id, at_s in attempts)
 
 
 def play_scale(plan: ScalePlan) -> ScaleResult:
-    """Play a plan. All processes are ended whatever happens.
+    """Play a plan and return its result. All processes are killed at the end, also after an error.
 
     Raises:
-        TimeoutError: a router does not serve.
+        TimeoutError: A router does not serve within `READY_TIMEOUT_S`.
     """
     with tempfile.TemporaryDirectory("", "rosepick-scale-", ignore_cleanup_errors=True) as folder:
         run = ScaleRun(plan, Path(folder))
--- a/rosepick/lab/scale/soak_plan.py
+++ b/rosepick/lab/scale/soak_plan.py
@@ -1,4 +1,4 @@
-"""Random scale plans: fleets of all sizes, short deadlines, little processor, signals in series, crowds."""
+"""Random scale plans: fleet size, deadline, CPU share, node replacements, kills, signals, idle clients."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 FLEET_SIZES = (12, 60, 200, 1_000, 3_200)
 ROUTER_COUNTS = (1, 1, 2, 4, 8)
 DEADLINES_S = (0.3, 0.6, 1.2, 2.5)
-# of the processor's time; a router needs 0.05 to 0.4 of it at the rates below
+# Share of the CPU time. At the rates below, a router needs 0.05 to 0.4.
 CPU_SHARES = (1.0, 1.0, 0.25, 0.12)
-TOTAL_RATES = (60.0, 200.0, 400.0)  # requests a second of all routers
+TOTAL_RATES = (60.0, 200.0, 400.0)  # requests per second, sum of all routers
 MAX_ROUTER_RATE = 250.0
 IDLE_CLIENTS = (0, 0, 150)
-SOCKETS_WITH_CROWD = 256
+SOCKETS_WITH_IDLE_CLIENTS = 256
 LENGTH_S = 9.0
 SIGNAL_SERIES = (
     ("SIGTERM",),
@@ -22,11 +22,11 @@
     ("SIGHUP", "SIGTERM"),
     ("SIGHUP", "SIGHUP", "SIGHUP"),
 )
-LONGEST_DOWN_S = 1.5
+MAX_DOWN_S = 1.5
 
 
 def draw_scale_plan(seed: int) -> ScalePlan:
-    """Return the plan of a seed, which is the same each time."""
+    """Return the plan of a seed; the same seed gives the same plan."""
     rng = random.Random(f"scale {seed}")
     nodes = rng.choice(FLEET_SIZES)
     routers = rng.choice(ROUTER_COUNTS)
@@ -44,7 +44,7 @@
         kills=_draw_kills(rng, routers),
         signals=_draw_signals(rng, routers),
         idle_clients=idle_clients,
-        sockets=SOCKETS_WITH_CROWD if idle_clients else 1_024,
+        sockets=SOCKETS_WITH_IDLE_CLIENTS if idle_clients else 1_024,
     )
 
 
@@ -52,21 +52,21 @@
     steps = rng.randint(0, 4)
     if not steps:
         return ()
-    each = max(1, int(nodes * rng.uniform(0.05, 0.5) / steps))
-    return (NodeReplacement(rng.uniform(0.5, 3.0), steps, each, rng.uniform(0.5, 3.0)),)
+    nodes_per_step = max(1, int(nodes * rng.uniform(0.05, 0.5) / steps))
+    return (NodeReplacement(rng.uniform(0.5, 3.0), steps, nodes_per_step, rng.uniform(0.5, 3.0)),)
 
 
 def _draw_kills(rng: random.Random, routers: int) -> tuple[RouterKill, ...]:
     if rng.random() < 0.5:
         return ()
-    return (RouterKill(rng.uniform(0.5, 2.0), rng.uniform(0.3, LONGEST_DOWN_S), rng.randint(1, routers)),)
+    return (RouterKill(rng.uniform(0.5, 2.0), rng.uniform(0.3, MAX_DOWN_S), rng.randint(1, routers)),)
 
 
 def _draw_signals(rng: random.Random, routers: int) -> tuple[RouterSignals, ...]:
-    """Draw signals after the kills; some of them come while a router starts."""
+    """Draw signals that come after the kills; some of them arrive while a router starts."""
     if rng.random() < 0.3:
         return ()
-    # a restart after a kill comes at 3.5 s at the latest
+    # The latest restart after a kill is at 3.5 s: killed at 2.0 s, down for `MAX_DOWN_S`.
     at_s = rng.choice((3.6, 3.8, rng.uniform(4.0, 5.0)))
     spacing_s = rng.choice((0.0, 0.05, 0.4))
     names = rng.choice(SIGNAL_SERIES)
--- a/rosepick/lab/soak/__init__.py
+++ b/rosepick/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak test: random, overlapping faults over a few dozen real processes, judged by invariants."""
+"""Soak test: random, overlapping faults in a few dozen real processes, checked by invariants."""
--- a/rosepick/lab/soak/soak_run.py
+++ b/rosepick/lab/soak/soak_run.py
@@ -1,4 +1,4 @@
-"""Plays a soak plan on real processes, and judges it: the four rules, and what routers say of themselves."""
+"""Plays a soak plan on real processes; checks the four rules and the fault events in the routers' logs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from . import process_faults
 from .soak_plan import MAX_HOLD_UP_S, SoakPlan
 
-# log lines by which a router says that something is wrong with itself
+# Log events with which a router reports a fault of its own.
 FAULT_EVENTS = frozenset(
     {"invariant_violated", "engine_fault", "event_loop_fault", "attempt_fault", "response_fault"}
 )
@@ -20,24 +20,24 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What came of one seed."""
+    """Result of the run of one seed."""
 
     seed: int
     run: RunResult
     violations: tuple[str, ...]
 
     def line(self) -> str:
-        """Return the seed's figures as one line."""
+        """Return the result as one line."""
         share = self.run.totals["served_share"]
         void = f", void: {self.run.void}" if self.run.void else ""
         return f"seed {self.seed}: served {share:.3f}, {len(self.violations)} violations{void}"
 
 
 def play_soak(plan: SoakPlan) -> SoakResult:
-    """Play a plan.
+    """Play a plan and return its result.
 
     Raises:
-        HelperProcessError: stand-ins, clients or a router fail to start or to end.
+        HelperProcessError: The stand-ins, the clients or a router fail to start or to end.
     """
     with open_live_run(plan.experiment, plan.seed) as live:
         live.process_starts = [
@@ -47,15 +47,16 @@
         live.set_up()
         live.run_to_end(lambda _share: None)
         run = live.result({})
-        faults = tuple(_faults_in_logs(live))
-    broken = tuple(
-        f"{one.rule} at {one.at:.2f} s, {one.request or one.node}: {one.text}" for one in run[0].broken
+        faults = tuple(_fault_lines(live))
+    violations = tuple(
+        f"{violation.rule} at {violation.at:.2f} s, {violation.request or violation.node}: {violation.text}"
+        for violation in run[0].broken
     )
-    return SoakResult(plan.seed, run[0], broken + faults)
+    return SoakResult(plan.seed, run[0], violations + faults)
 
 
-def _faults_in_logs(live: LiveRun) -> Iterator[str]:
-    """Yield the lines in which routers report faults of their own."""
+def _fault_lines(live: LiveRun) -> Iterator[str]:
+    """Yield the log lines in which routers report faults of their own."""
     for router in live.routers:
         for line in router.log_file.read_text("utf-8", "replace").splitlines():
             if parse_log_fields(line).get("event") in FAULT_EVENTS:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -22,7 +22,7 @@
         nodes=3_200,
         rate=250.0,
         seed=seed,
-        replacements=(NodeReplacement(at_s=1.0, steps=4, nodes_each=500, away_s=2.5),),
+        replacements=(NodeReplacement(at_s=1.0, steps=4, nodes_per_step=500, away_s=2.5),),
         kills=(RouterKill(at_s=1.0, down_s=1.5, routers=1),),
     )
     assert_nothing_lost(play_scale(plan))
