--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,22 +1,23 @@
-"""A small scenario language for a whole router on loopback: who, what, and the rest of the line.
-
-    c1 send GET /api/k1 a=b         a client (c...) sends a request: headers as name=value, else its body
-    s1 expect GET /api/k1           an upstream (s1, s2, origin) or discovery (d) gets one that begins so
-    s1 send 404                     ... and answers: status, body, headers as name=value
-    c1 expect 503 Retry-After       an answer with that status comes; all further words are in it
-    d tell 42 s1=leaving            discovery answers with changed entries
-    d list 42 s1=active             ... or with the whole list
-    s1 raw HTTP/1.1 2               raw text, with Python's escapes
-    c1 close / half-close           closes, or ends its sending
-    s1 expect closed / nothing      the router closed that connection; no connection has sent anything
-    s1 refuse                       takes no connections from here on
-    s1 hold / let                   new connections there do not come up; those that wait may, from here on
-    router end / going / ended      is told to end; has not ended yet; has
-    router reload                   is told to read its configuration file again
-    all holds engine.pending_count 1         that part of the router has that value
-    wait 600                        so many milliseconds pass on a clock of the scenario's own
-
-Nothing sleeps: the loop is stepped until what is expected is there, a bounded number of times.
+"""A scenario language that tests a whole router on loopback. A line has a party, a verb and arguments.
+
+    c1 send GET /api/k1 a=b         a client (c...) sends a request; name=value are headers, the rest is the body
+    s1 expect GET /api/k1           an upstream (s1, s2, origin) or discovery (d) receives a request that
+                                    begins with this text and contains the further words
+    s1 send 404                     a party responds with a status, a body, and headers as name=value
+    c1 expect 503 Retry-After       a client receives a response with that status and the further words
+    d tell 42 s1=leaving            discovery responds with a revision and the changed entries
+    d list 42 s1=active             discovery responds with a revision and the full list
+    s1 raw HTTP/1.1 2               a party sends raw text, with Python's escapes
+    c1 close / half-close           a party closes its connection, or only its sending direction
+    s1 expect closed / nothing      the router has closed the connection; no connection has received data
+    s1 refuse                       the party closes its listening socket, so that connects are refused
+    s1 hold / let                   connects to the party neither succeed nor fail; they succeed again
+    router end / going / ended      the router gets SIGTERM; has not ended yet; has ended
+    router reload                   the router reads its configuration file again
+    all holds engine.pending_count 1         the attribute of the router has that value
+    wait 600                        the clock of the scenario advances by that many milliseconds
+
+Tests do not sleep: the event loop is stepped a bounded number of times until the expected message arrives.
 """
 
 from __future__ import annotations
@@ -66,7 +67,7 @@
 
 
 def target(name: str, port: int, state: str = "active") -> dict[str, object]:
-    """An entry of discovery's list."""
+    """Return an entry of the endpoint list that discovery sends."""
     kind = "origin" if name == "origin" else "std"
     return {
         "uid": name,
@@ -81,14 +82,14 @@
 
 
 class ScenarioConnection:
-    """One connection as the scenario holds it."""
+    """One connection of a party of the scenario, with the bytes that it has received."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.seen, self.ended = sock, b"", False
         sock.setblocking(False)
 
     def pull(self) -> None:
-        """Take in what has come."""
+        """Read all bytes that have arrived; `ended` is set when the router has closed the connection."""
         try:
             while not self.ended:
                 data = self.sock.recv(65536)
@@ -100,7 +101,7 @@
             self.ended = True
 
     def message(self) -> str | None:
-        """Return the next complete message, and remove it."""
+        """Remove and return the next complete message; None if there is none yet."""
         head, gap, rest = self.seen.partition(b"\r\n\r\n")
         if not gap:
             return None
@@ -114,10 +115,10 @@
 
 
 class Scenario(unittest.TestCase):
-    """Runs scenarios; each starts a router of its own."""
+    """Base of tests with scenarios; each test starts its own router."""
 
     nodes: tuple[str, ...] = ("s1", "origin")
-    discoveries: tuple[str, ...] = ("d",)  # the first is the one that is configured at the start
+    discoveries: tuple[str, ...] = ("d",)  # the router is configured with the first
     sockets = 1024
 
     def setUp(self) -> None:
@@ -126,7 +127,9 @@
         parties = (*self.nodes, *self.discoveries)
         self.listeners = {name: socket.create_server(("127.0.0.1", 0)) for name in parties}
         self.wires: dict[str, list[ScenarioConnection]] = {name: [] for name in self.listeners}
-        self.fillers: dict[str, list[socket.socket]] = {}  # of a party's queue that is held full
+        self.fillers: dict[
+            str, list[socket.socket]
+        ] = {}  # of each held party: connections that fill its accept queue
         self.loop = EventLoop(lambda: self.now)
         self.file: dict[str, Any] = self.document()
         self.server = RouterServer(self.read(), self.loop, self.read, self.operators())
@@ -136,17 +139,17 @@
 
     def tearDown(self) -> None:
         socks = [*self.listeners.values(), *(w.sock for wires in self.wires.values() for w in wires)]
-        socks += [sock for socks_ in self.fillers.values() for sock in socks_]
+        socks += [sock for filler_socks in self.fillers.values() for sock in filler_socks]
         for sock in socks:
             sock.close()
         self.server.close()
 
     def port(self, name: str) -> int:
-        """Where a party listens."""
+        """Return the port on which a party listens."""
         return int(self.listeners[name].getsockname()[1])
 
     def document(self) -> dict[str, Any]:
-        """The configuration."""
+        """Return the configuration document of the router."""
         targets = [target(name, self.port(name)) for name in self.nodes]
         return {
             "name": "n0",
@@ -167,13 +170,13 @@
         return OperatorOptions()
 
     def module(self) -> Router:
-        """The router's decisions."""
+        """Return the decision module of the router."""
         router = self.server.engine.router
         assert isinstance(router, Router)
         return router
 
     def play(self, text: str) -> None:
-        """Run a scenario."""
+        """Run a scenario, one step per line."""
         for line in filter(None, map(str.strip, text.splitlines())):
             with self.subTest(line):
                 who, what, *rest = line.split(" ", 2)
@@ -185,12 +188,12 @@
                     getattr(self, what.replace("-", "_"))(who, *rest)
 
     def holds(self, who: str, text: str) -> None:
-        """Something of the router has that value."""
+        """Check that an attribute of the router, by its dotted path, has a value."""
         path, _, value = text.partition(" ")
         self.assertEqual(str(operator.attrgetter(path)(self.server)), value)
 
     def each(self, cases: dict[str, str]) -> None:
-        """Run scenarios, each with a router of its own."""
+        """Run several scenarios by name, each with its own router."""
         for name, text in cases.items():
             with self.subTest(name):
                 self.tearDown()
@@ -198,13 +201,13 @@
                 self.steps(text)
 
     def steps(self, text: str) -> None:
-        """Run a scenario on one line; its steps are parted by `; `."""
+        """Run a scenario that is written on one line; `; ` separates its steps."""
         self.play(text.replace("; ", "\n"))
 
     # --------------------------------------------------------------------------------------- the verbs
 
     def wait(self, duration_ms: float) -> None:
-        """Time passes, a few milliseconds at a time."""
+        """Advance the clock by `duration_ms`, in steps of 5 ms, and step the event loop each time."""
         until = self.now + duration_ms / 1000.0
         while self.now < until:
             self.now = min(until, self.now + 0.005)
@@ -217,7 +220,7 @@
             self.assertEqual(self.loop.stopped, what == "ended")
 
     def wire(self, who: str) -> ScenarioConnection:
-        """Return a party's current connection; a client opens its own."""
+        """Return the latest connection of a party; a client without one connects first."""
         if not self.wires.get(who):
             self.wires[who] = [
                 ScenarioConnection(socket.create_connection(self.server.listener.sock.getsockname()))
@@ -282,7 +285,7 @@
         self.listeners[who].close()
 
     def hold(self, who: str) -> None:
-        """Fill its accept queue, so that no connect succeeds any more, as with a host that is cut off."""
+        """Fill the party's accept queue, so that connects get no reply, as from an unreachable host."""
         self.listeners[who].listen(0)
         self.fillers[who] = []
         for _ in range(8):
@@ -332,7 +335,7 @@
             self.assertIn(word.replace("=", ": ", 1) if first.isdigit() else word, message)
 
     def step(self) -> None:
-        """Let the router and the parties do what they can without waiting for the clock."""
+        """Step the event loop and let the parties accept and read, without advancing the clock."""
         for _ in range(3):
             self.loop.step(0)
             for name, listener in self.listeners.items():
