--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of all tests: the same examples of properties each time, and the tests that are known to fail."""
+"""Settings of all tests: deterministic examples of hypothesis, and the tests that are known to fail."""
 
 import tempfile
 
@@ -11,13 +11,13 @@
 settings.register_profile("same", derandomize=True, deadline=None, database=None, max_examples=150)
 settings.load_profile("same")
 
-# Guards the checkout: what hypothesis keeps of the sources that it read names the paths of this machine.
+# A temporary folder, because hypothesis stores data about sources with the paths of the machine.
 _home = tempfile.TemporaryDirectory(prefix="rosepick-hypothesis-")
 configuration.set_hypothesis_home_dir(_home.name)
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Make the tests of KNOWN-RED.txt strict expected failures."""
+    """Mark the tests of KNOWN-RED.txt as strict expected failures."""
     for entry in load_known_red():
         mark = pytest.mark.xfail(reason=f"{entry.cause} ({entry.issue})", strict=True)
         for item in items:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
-"""Tests that fail for a known fault: `KNOWN-RED.txt`, whose tests are strict expected failures.
+"""Reads `KNOWN-RED.txt`, the tests that fail because of a known fault; they are strict expected failures.
 
-Each line is `test | cause | issue`; the test is a node id without parameters. Three lines at most. A listed
-test that passes again fails the run until its line is gone, and so does a line that names no test.
+Each line is `test | cause | issue`, and the test is a node id without parameters. At most three lines are
+allowed. A listed test that passes fails the run until its line is removed, and so does a line with an unknown
+test.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class KnownRedError(ValueError):
-    """The file breaks its form; the message says where."""
+    """The file is malformed; the message names the line or the limit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,10 +28,10 @@
 
 
 def read_known_red(text: str) -> list[KnownRedTest]:
-    """Return the tests that a file's text lists.
+    """Return the tests that the text of a file lists.
 
     Raises:
-        KnownRedError: a line has another form, or there are too many.
+        KnownRedError: A line is malformed, or there are too many lines.
     """
     entries = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -46,5 +47,5 @@
 
 
 def load_known_red() -> list[KnownRedTest]:
-    """Return the tests that the repository's file lists; none if there is no file."""
+    """Return the tests that the file of the repository lists; none if the file does not exist."""
     return read_known_red(FILE.read_text("utf-8")) if FILE.exists() else []
--- a/tests/release_build_violation.py
+++ b/tests/release_build_violation.py
@@ -1,6 +1,6 @@
-"""Run with `python -O`: a decision module that sends too often, and what the router counts of it.
+"""Runs with `python -O`: a decision module sends too often, and the router counts the violations.
 
-Prints how many attempts were carried out beyond the limit, and the violations of the telemetry document.
+Prints the number of attempts that were started beyond the limit, and the violations in the telemetry.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class _UpstreamRecorder:
-    """Counts the attempts that it is given."""
+    """Counts the attempts that are started."""
 
     def __init__(self) -> None:
         self.started = 0
@@ -30,7 +30,7 @@
 
 
 def main() -> None:
-    """Send beyond the limit of attempts, and print what comes of it."""
+    """Send more attempts than the limit allows, and print the counts."""
     from rosepick.net.server import RouterServer
 
     logs.configure_logging()
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,6 +1,6 @@
 """A scenario language that tests a whole router on loopback. A line has a party, a verb and arguments.
 
-    c1 send GET /api/k1 a=b         a client (c...) sends a request; name=value are headers, the rest is the body
+    c1 send GET /api/k1 a=b         a client (c...) sends a request; name=value are headers, the rest its body
     s1 expect GET /api/k1           an upstream (s1, s2, origin) or discovery (d) receives a request that
                                     begins with this text and contains the further words
     s1 send 404                     a party responds with a status, a body, and headers as name=value
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,4 +1,4 @@
-"""Stored and wire forms: the program reads the golden files of a8254ac, and writes the same bytes."""
+"""The program reads the golden files of version a8254ac, stored and sent data, and writes the same bytes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def test_program_writes_the_golden_bytes(name: str) -> None:
     form = FORMS[name]
     written, recorded = form.write(form.value()), (GOLDEN / name).read_bytes()
-    if not form.holds(written, recorded):  # only then are the two compared in full, for the message
+    if not form.holds(written, recorded):  # only a failure compares them in full, for its message
         assert form.comparable(written) == form.comparable(recorded), name
 
 
@@ -26,7 +26,7 @@
     assert form.read((GOLDEN / name).read_bytes()) == form.value()
 
 
-def test_every_file_has_its_form() -> None:
+def test_every_golden_file_has_a_form() -> None:
     assert {path.name for path in GOLDEN.iterdir()} == set(FORMS)
 
 
@@ -35,16 +35,16 @@
     assert recorded == quorum.tags_of_program()
 
 
-def test_a_document_of_names_may_grow_and_loses_nothing() -> None:
+def test_a_document_that_may_grow_must_not_lose_or_change_names() -> None:
     form = Form(dict, as_json, grows=True)
     recorded = as_json({"run": {"options": {"--seed": [1, {"min": 0}]}}})
     grown = {"run": {"options": {"--seed": [1, {"min": 0, "max": 9}], "--new": []}}, "more": {}}
     assert form.holds(as_json(grown), recorded)
-    spoilt_documents: tuple[object, ...] = (
+    changed_documents: tuple[object, ...] = (
         {},
         {"run": {}},
         {"run": {"options": {"--seed": [1]}}},
         {"run": {"options": {"--seed": [2, {"min": 0}]}}},
     )
-    for spoilt in spoilt_documents:
-        assert not form.holds(as_json(spoilt), recorded)
+    for changed in changed_documents:
+        assert not form.holds(as_json(changed), recorded)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""Each guard of docs/endings.md is taken out of a copy of the program, and its test has to fail there."""
+"""Removes each guard of docs/endings.md from a copy of the program; its test has to fail there."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
-DEFAULT_MODULE = "test_endings.py"  # of a fault that names no other
+DEFAULT_MODULE = "test_endings.py"  # module of a fault without the key `module`
 FAULTS = tomllib.loads((ROOT / "tests" / "guards.toml").read_text("utf-8"))["fault"]
 
 
 @pytest.fixture(scope="module")
-def copy(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """A copy of the program and its tests."""
+def program_copy(tmp_path_factory: pytest.TempPathFactory) -> Path:
+    """Copy the program and its tests into a temporary folder."""
     folder = tmp_path_factory.mktemp("planted")
     for name in ("rosepick", "tests"):
         shutil.copytree(ROOT / name, folder / name, ignore=shutil.ignore_patterns("__pycache__"))
@@ -26,8 +26,8 @@
     return folder
 
 
-def outcome(folder: Path, module: str, test: str) -> tuple[int, str]:
-    """Pytest's exit and its words over one test of the copy."""
+def run_test(folder: Path, module: str, test: str) -> tuple[int, str]:
+    """Run one test of the copy; return the exit status and the output of pytest."""
     environment = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1", "PYTHONPATH": str(folder)}
     command = [sys.executable, "-m", "pytest", "-q", f"tests/{module}::{test}"]
     done = subprocess.run(command, cwd=folder, capture_output=True, text=True, env=environment, check=False)
@@ -35,15 +35,15 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=[fault["name"] for fault in FAULTS])
-def test_without_the_guard_its_test_fails(copy: Path, fault: dict[str, str]) -> None:
-    path = copy / fault["file"]
+def test_without_the_guard_its_test_fails(program_copy: Path, fault: dict[str, str]) -> None:
+    path = program_copy / fault["file"]
     text = path.read_text("utf-8")
     assert text.count(fault["old"]) == 1
     path.write_text(text.replace(fault["old"], fault["new"]), "utf-8")
     try:
-        code, said = outcome(copy, fault.get("module", DEFAULT_MODULE), fault["test"])
+        status, output = run_test(program_copy, fault.get("module", DEFAULT_MODULE), fault["test"])
     finally:
         path.write_text(text, "utf-8")
-    # 1 is a test that failed; guards against a fault that breaks the program's import, or a test that is none
+    # Status 1 means that a test failed, rather than an import error or a missing test.
     failed = f"FAILED tests/{fault.get('module', DEFAULT_MODULE)}::{fault['test']}"
-    assert code == 1 and failed in said, said
+    assert status == 1 and failed in output, output
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Real routers beside thousands of nodes, or with little processor: each request gets its final answer."""
+"""Real routers with thousands of nodes, or with little CPU time: each request gets its final answer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def assert_nothing_lost(result: ScaleResult) -> None:
-    """Check the rule on answers, and that the run was no idle one."""
+    """Check that no request was lost or sent after its end, and that the run had more than 500 requests."""
     assert result.lost == [], "\n".join([result.line(), *result.lost_lines()])
     assert result.sent_after_end == 0, result.line()
     assert not result.events["invariant_violated"]
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("deadline_s", [0.4, 1.2])
-def test_requests_are_lost_by_a_router_with_a_part_of_the_processor_that_it_needs(deadline_s: float) -> None:
+def test_requests_are_lost_by_a_router_with_less_cpu_time_than_it_needs(deadline_s: float) -> None:
     plan = ScalePlan(nodes=200, rate=300.0, length_s=6.0, deadline_s=deadline_s, cpu_share=0.1)
     assert_nothing_lost(play_scale(plan))
 
--- a/tests/test_planted_faults.py
+++ b/tests/test_planted_faults.py
@@ -1,7 +1,7 @@
 """Each planted fault of guards.toml and mutations.toml applies to the sources as they are.
 
-The slow tests plant the faults and show that each is found; this one only shows that none of them has gone
-stale, so it can run after every change.
+The slow tests plant each fault and check that it is detected. This test only checks that each fault still
+matches the sources, so it can run after every change.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def edits_of(fault: dict[str, Any]) -> list[dict[str, str]]:
-    """Return the edits of a fault: those that it lists, or the fault itself where it is a single edit."""
+    """Return the edits of a fault: the edits that it lists, or the fault itself if it is a single edit."""
     edits: list[dict[str, str]] = fault.get("edits", [fault])
     return edits
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -75,7 +75,7 @@
             s1 expect GET /api/k1 Req-Deadline: 0.500
         """)
 
-    def test_two_requests_at_once_are_answered_in_turn(self) -> None:
+    def test_two_pipelined_requests_are_answered_in_order(self) -> None:
         one = r"GET /api/k1 HTTP/1.1\r\nReq-Id: 7\r\nReq-Kind: read\r\nReq-Owner: beta\r\n"
         one += r"Req-Deadline: 1\r\n\r\n"
         self.play(rf"""
@@ -118,7 +118,7 @@
         """)
         self.assertEqual(self.server.engine.counts["attempt_connect_failed"], 1)
 
-    def ends(self, response: str, outcome: str) -> None:
+    def assert_outcome(self, response: str, outcome: str) -> None:
         self.play(f"""
             c1 send GET /api/k1
             s1 expect GET /api/k1
@@ -128,16 +128,16 @@
         self.assertEqual(self.server.engine.counts[f"attempt_{outcome}"], 1)
 
     def test_declined(self) -> None:
-        self.ends("send 503 '' Srv-Declined=1", "busy")
+        self.assert_outcome("send 503 '' Srv-Declined=1", "busy")
 
     def test_not_declined(self) -> None:
-        self.ends("send 503 ''", "error")
+        self.assert_outcome("send 503 ''", "error")
 
     def test_malformed_response(self) -> None:
-        self.ends(r"raw HELO\r\n\r\n", "malformed")
+        self.assert_outcome(r"raw HELO\r\n\r\n", "malformed")
 
     def test_connection_that_breaks(self) -> None:
-        self.ends("close", "reset")
+        self.assert_outcome("close", "reset")
 
     def test_early_response_to_a_request_not_yet_written(self) -> None:
         exchange = HttpExchange(
@@ -148,27 +148,27 @@
         self.assertEqual((result.result, result.reusable), (Result.CONNECT_FAILED, False))
 
     def test_read_that_times_out_fails_at_the_deadline(self) -> None:
-        """Not refused, which a decision a few microseconds before the deadline would be."""
+        """Guards against a refusal, which a decision a few microseconds before the deadline would be."""
 
-        def moving() -> float:
+        def advancing_clock() -> float:
             self.now += 1e-6
             return self.now
 
-        self.loop._clock = moving
+        self.loop._clock = advancing_clock
         self.play("""
             c1 send GET /api/k1 Req-Deadline=0.055
             s1 expect GET /api/k1
             c1 expect nothing
         """)
         attempt = next(iter(self.server.pool.busy))
-        job = self.module().pending[attempt.request.ref]
-        self.assertEqual(job.deadline, attempt.stop_at)
+        pending = self.module().pending[attempt.request.ref]
+        self.assertEqual(pending.deadline, attempt.stop_at)
         self.play("""
             wait 60
             c1 expect 504
         """)
 
-    def test_silence_ends_at_the_deadline_and_its_connection_with_it(self) -> None:
+    def test_silent_upstream_fails_at_the_deadline_and_its_connection_closes(self) -> None:
         self.play("""
             c1 send PUT /api/k1 v Req-Deadline=0.300
             origin expect PUT /api/k1
@@ -180,7 +180,7 @@
         """)
         self.assertEqual(self.server.engine.counts["attempt_timeout"], 1)
 
-    def test_idle_connection_that_was_closed_carries_nothing(self) -> None:
+    def test_idle_connection_that_was_closed_is_not_used(self) -> None:
         self.play("""
             c1 send GET /api/k1
             s1 expect GET /api/k1
@@ -193,7 +193,7 @@
             c1 expect 200 again
         """)
 
-    def test_idle_connections_close_before_the_upstream_does_it(self) -> None:
+    def test_idle_connections_close_before_the_upstream_closes_them(self) -> None:
         self.play("""
             c1 send GET /api/k1
             s1 expect GET /api/k1
@@ -205,7 +205,7 @@
 
 
 class ClientSide(Scenario):
-    def test_bad_requests(self) -> None:
+    def test_malformed_requests_are_refused(self) -> None:
         for text, status in (
             ("c1 send GET /api/k1 Req-Id=", 400),
             ("c1 send GET /api/k1 Req-Kind=none", 400),
@@ -223,7 +223,7 @@
             self.play(f"{text}\n{text[:2]} expect {status}")
         self.assertEqual(self.server.engine.counts["requests"], 0)
 
-    def test_header_without_end(self) -> None:
+    def test_header_that_never_ends_is_refused(self) -> None:
         self.play(rf"""
             c1 raw GET /api/k1 HTTP/1.1\r\nMuch: {"x" * 9_000}
             c1 raw {"x" * 9_000}
@@ -249,7 +249,7 @@
             c1 expect closed
         """)
 
-    def test_connection_close_is_kept(self) -> None:
+    def test_connection_close_header_is_respected(self) -> None:
         self.play("""
             c1 send GET /ready Connection=close
             c1 expect 200 Connection=close ready
@@ -272,7 +272,7 @@
             c1 expect nothing
         """)
 
-    def test_many_requests_at_once_are_not_all_read_ahead(self) -> None:
+    def test_many_pipelined_requests_are_not_all_read_ahead(self) -> None:
         request = r"GET /ready HTTP/1.1\r\n\r\n"
         self.play(f"""
             c1 send GET /api/k1
@@ -297,29 +297,29 @@
 
 
 class Faults(Scenario):
-    def test_fault_of_the_module_over_a_request(self) -> None:
-        self.breaks(self.server.engine.router, "_accept_request")
+    def test_fault_in_the_decision_module_fails_the_request(self) -> None:
+        self.make_raise(self.server.engine.router, "_accept_request")
         self.play("""
             c1 send GET /api/k1
             c1 expect 500
         """)
         self.assertEqual((self.server.engine.counts["faults"], self.server.engine.pending_count), (1, 0))
 
-    def test_fault_over_an_attempt(self) -> None:
-        self.breaks(self.server.pool, "_take_idle")
+    def test_fault_at_the_start_of_an_attempt_fails_the_request(self) -> None:
+        self.make_raise(self.server.pool, "_take_idle")
         self.play("""
             c1 send GET /api/k1
             c1 expect 503
         """)
         self.assertEqual(self.server.engine.counts["faults"], 1)
 
-    def test_fault_over_a_response_ends_the_attempt_and_not_the_loop(self) -> None:
+    def test_fault_while_reading_a_response_ends_the_attempt_and_not_the_loop(self) -> None:
         self.play("""
             c1 send GET /api/k1
             s1 expect GET /api/k1
         """)
         (connection,) = self.server.pool.busy.values()
-        self.breaks(connection, "_read")
+        self.make_raise(connection, "_read")
         self.play("""
             s1 send 200 value
             c1 expect 503
@@ -327,7 +327,7 @@
         """)
         self.assertEqual(self.loop.fault_count, 1)
 
-    def test_module_that_forgets_a_request(self) -> None:
+    def test_request_that_the_module_never_finishes_fails_after_the_deadline(self) -> None:
         patch = mock.patch.object(self.server.engine.router, "_finish")
         patch.start()
         self.addCleanup(patch.stop)
@@ -340,14 +340,14 @@
             c1 expect 504
         """)
 
-    def breaks(self, part: object, method: str) -> None:
+    def make_raise(self, part: object, method: str) -> None:
         patch = mock.patch.object(part, method, side_effect=KeyError("broken on purpose"))
         patch.start()
         self.addCleanup(patch.stop)
 
 
 class Discovery(Scenario):
-    def test_watch_goes_on_from_the_revision_held_on_one_connection(self) -> None:
+    def test_polls_continue_from_the_held_revision_on_one_connection(self) -> None:
         self.play("""
             wait 800
             d expect GET /v1/endpoints?after=41&wait_ms=0
@@ -358,7 +358,7 @@
         """)
         self.assertEqual(len(self.wires["d"]), 1)
 
-    def test_idle_connections_to_an_upstream_that_leaves_close_at_once(self) -> None:
+    def test_idle_connections_to_a_draining_upstream_close_at_once(self) -> None:
         self.play("""
             c1 send GET /api/k1
             s1 expect GET /api/k1
@@ -370,35 +370,35 @@
             s1 expect closed
         """)
 
-    def fails(self, how: str) -> None:
+    def assert_polled_again_after(self, failure: str) -> None:
         self.play(f"""
             wait 700
             d expect GET /v1/endpoints?after=41&wait_ms=0
-            {how}
+            {failure}
             wait 1100
             d expect GET /v1/endpoints?after=41&wait_ms=0
         """)
 
     def test_declined(self) -> None:
-        self.fails("d send 503 busy")
+        self.assert_polled_again_after("d send 503 busy")
 
-    def test_bad_json(self) -> None:
-        self.fails("d send 200 {")
+    def test_malformed_json(self) -> None:
+        self.assert_polled_again_after("d send 200 {")
 
-    def test_no_list(self) -> None:
-        self.fails("d send 200 []")
+    def test_response_that_is_not_an_endpoint_list(self) -> None:
+        self.assert_polled_again_after("d send 200 []")
 
-    def test_no_http(self) -> None:
-        self.fails(r"d raw \x00\x00")
+    def test_response_that_is_not_http(self) -> None:
+        self.assert_polled_again_after(r"d raw \x00\x00")
 
     def test_connection_that_breaks(self) -> None:
-        self.fails("d close")
+        self.assert_polled_again_after("d close")
 
     def test_silence(self) -> None:
-        self.fails("wait 4500")
+        self.assert_polled_again_after("wait 4500")
 
 
-class Ending(Scenario):
+class Shutdown(Scenario):
     def test_pending_requests_are_answered_and_connections_still_accepted(self) -> None:
         self.play("""
             c1 send GET /api/k1
@@ -430,7 +430,7 @@
         """)
 
     def test_a_new_connection_is_served_before_idle_ones_close(self) -> None:
-        """Its request may be on the way: closing it then would lose what was written meanwhile."""
+        """The request of the new connection may be on the way, and a close would lose it."""
         self.play("router end\nwait 590")
         self.wire("c1")
         self.play("""
@@ -458,7 +458,7 @@
             router ended
         """)
 
-    def test_stalled_client_does_not_delay_the_shutdown_for_ever(self) -> None:
+    def test_stalled_client_does_not_delay_the_shutdown_indefinitely(self) -> None:
         self.play("""
             c1 send PUT /api/k1 value Req-Deadline=9.000
             origin expect PUT /api/k1
@@ -471,12 +471,12 @@
 
 
 class NoDescriptors(Scenario):
-    none = OSError(errno.EMFILE, "Too many open files")
+    no_descriptors = OSError(errno.EMFILE, "Too many open files")
 
-    def test_accepting_goes_on_after_a_pause(self) -> None:
+    def test_accepting_continues_after_a_pause(self) -> None:
         (listen_socket,) = self.server.listener.listen_sockets
         listen_socket.sock = mock.Mock(wraps=listen_socket.sock)
-        listen_socket.sock.accept.side_effect = chain([self.none], repeat(mock.DEFAULT))
+        listen_socket.sock.accept.side_effect = chain([self.no_descriptors], repeat(mock.DEFAULT))
         self.play("""
             c1 send GET /ready
             c1 expect nothing
@@ -487,7 +487,7 @@
     def test_connect_without_a_descriptor_fails(self) -> None:
         endpoint = next(iter(self.server.endpoint_directory.endpoints.values()))
         with (
-            mock.patch("rosepick.net.tcp_stream.socket.socket", side_effect=self.none),
+            mock.patch("rosepick.net.tcp_stream.socket.socket", side_effect=self.no_descriptors),
             self.assertRaises(OSError) as raised,
         ):
             self.server.pool._dial(endpoint)
@@ -511,7 +511,7 @@
             mock.patch.object(pool, "finish_attempt") as ended,
             mock.patch.object(pool, "may_write", return_value=True),  # the attempt is a mock
         ):
-            pool._expire_connect(connection)  # its time is over before the loop has looked at sockets
+            pool._expire_connect(connection)  # the timer runs before the loop checks the sockets
         ended.assert_not_called()
         self.assertTrue(connection.stream.is_open and not connection.is_connecting)
         connection.attempt = None
@@ -526,7 +526,7 @@
         """)
         endpoints = {endpoint.uid: endpoint for endpoint in self.server.endpoint_directory.endpoints.values()}
         sock = socket.socket()
-        with mock.patch("rosepick.net.tcp_stream.socket.socket", side_effect=[self.none, sock]):
+        with mock.patch("rosepick.net.tcp_stream.socket.socket", side_effect=[self.no_descriptors, sock]):
             connection = self.server.pool._dial(endpoints["origin"])
         assert connection is not None
         self.assertIs(connection.stream.sock, sock)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The sites of our own are unlike each other and hold nothing that only the first site has."""
+"""The two sites in deploy/sites differ in their settings, and the program names neither of them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return tomllib.loads(path.read_text("utf-8"))
 
 
-def test_they_differ_in_what_settings_tell() -> None:
+def test_the_sites_differ_in_their_settings() -> None:
     first, second = map(read, SITES)
     assert not {c["name"] for c in first["class"]} & {c["name"] for c in second["class"]}
     assert not {t["name"] for t in first["tenant"]} & {t["name"] for t in second["tenant"]}
@@ -24,7 +24,7 @@
     assert first["rules"] != second["rules"] and first["prices"] != second["prices"]
 
 
-def test_together_they_have_every_effect_and_a_window_shorter_than_an_answer() -> None:
+def test_the_sites_have_every_effect_and_a_window_shorter_than_an_objective() -> None:
     classes = [one for site in map(read, SITES) for one in site["class"]]
     assert {one["effect"] for one in classes} == {"safe", "keyed", "unsafe"}
     assert min(one["window_ms"] for one in classes if one["effect"] == "keyed") < min(
@@ -33,12 +33,12 @@
     assert max(one["deadline_ms"] for one in classes) >= 6 * min(one["deadline_ms"] for one in classes)
 
 
-def test_the_program_knows_no_name_of_any_site() -> None:
-    """Classes, tenants and zones come from the settings alone."""
-    named = {
+def test_the_program_contains_no_name_of_a_site() -> None:
+    """Guards against names of classes, tenants and zones in the source: they come from the settings only."""
+    names = {
         one["name"] for site in map(read, SITES) for kind in ("class", "tenant") for one in site[kind]
     } | {"read-usage", "set-contract", "log-correction", "kita-denryoku", "sapporo-east", "chitose"}
     source = SITES[0].parent.parent.parent / "rosepick"
-    served = [path for path in source.rglob("*.py") if "lab" not in path.parts]
-    texts = {path: path.read_text("utf-8") for path in served}
-    assert [(str(path), name) for path, text in texts.items() for name in named if f'"{name}"' in text] == []
+    paths = [path for path in source.rglob("*.py") if "lab" not in path.parts]
+    texts = {path: path.read_text("utf-8") for path in paths}
+    assert [(str(path), name) for path, text in texts.items() for name in names if f'"{name}"' in text] == []
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its plans, the faults inside a process, and one seed on a few real processes."""
+"""The soak test: its plans, the faults inside a process, and one seed with a few real processes."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 @pytest.fixture
-def faulty() -> Iterator[FaultInjector]:
-    """The faults of this process, which the test sets; none at first."""
+def injector() -> Iterator[FaultInjector]:
+    """Injector of faults into this process, at first without any; the test sets them."""
     injector = FaultInjector(ProcessFaults())
     with mock.patch.object(process_faults, "injector", injector):
         yield injector
 
 
-def test_a_plan_is_the_same_each_time_and_another_for_each_seed() -> None:
+def test_a_plan_is_the_same_for_a_seed_and_differs_between_seeds() -> None:
     assert draw_plan(7) == draw_plan(7)
     assert draw_plan(7) != draw_plan(8)
     for seed in range(1, 40):
@@ -37,24 +37,24 @@
     assert set(draw_plan(3, routers=4, with_process_faults=False).process_faults) == {ProcessFaults()}
 
 
-def test_the_wall_clock_steps_and_the_monotonic_one_does_not(faulty: FaultInjector) -> None:
-    faulty.faults = ProcessFaults(wall_offset_s=30.0, wall_step_at_s=1_000.0, wall_step_s=3_600.0)
-    assert faulty.wall_time() - time.time() == pytest.approx(30.0, abs=5.0)
-    faulty.faults = ProcessFaults(wall_offset_s=30.0, wall_step_at_s=0.0, wall_step_s=3_600.0)
-    assert faulty.wall_time() - time.time() == pytest.approx(3_630.0, abs=5.0)
+def test_the_wall_clock_has_an_offset_and_steps(injector: FaultInjector) -> None:
+    injector.faults = ProcessFaults(wall_offset_s=30.0, wall_step_at_s=1_000.0, wall_step_s=3_600.0)
+    assert injector.wall_time() - time.time() == pytest.approx(30.0, abs=5.0)
+    injector.faults = ProcessFaults(wall_offset_s=30.0, wall_step_at_s=0.0, wall_step_s=3_600.0)
+    assert injector.wall_time() - time.time() == pytest.approx(3_630.0, abs=5.0)
 
 
-def test_nothing_is_lost_by_calls_that_fail_or_do_less_than_asked(faulty: FaultInjector) -> None:
-    """An accept that fails leaves the connection to the next one, and short writes keep the order."""
+def test_failing_calls_and_short_transfers_lose_no_data(injector: FaultInjector) -> None:
+    """A failed accept leaves the connection to the next accept; short writes keep the order of bytes."""
     with FaultySocket() as listener, socket.socket() as client:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         client.connect(listener.getsockname())
-        faulty.faults = ProcessFaults(failing_share=1.0)
-        with pytest.raises(OSError) as failed:
+        injector.faults = ProcessFaults(failing_share=1.0)
+        with pytest.raises(OSError) as accept_error:
             listener.accept()
-        assert failed.value.errno in process_faults.ACCEPT_ERRNOS
-        faulty.faults = ProcessFaults(short_share=0.5)
+        assert accept_error.value.errno in process_faults.ACCEPT_ERRNOS
+        injector.faults = ProcessFaults(short_share=0.5)
         accepted, _ = listener.accept()
         with accepted:
             data, sent, received = bytes(range(256)) * 8, 0, b""
@@ -66,7 +66,7 @@
 
 
 def _send(sock: socket.socket, data: bytes) -> int:
-    """Send what can be sent now."""
+    """Send as much as the socket accepts; retry while it would block."""
     while True:
         try:
             return sock.send(data)
@@ -74,20 +74,20 @@
             continue
 
 
-def test_a_connection_that_broke_stays_broken(faulty: FaultInjector) -> None:
+def test_a_connection_that_broke_stays_broken(injector: FaultInjector) -> None:
     with socket.create_server(("127.0.0.1", 0)) as server, FaultySocket() as sock:
         sock.connect(server.getsockname())
-        faulty.faults = ProcessFaults(breaking_share=1.0)
-        with pytest.raises(OSError) as broken:
+        injector.faults = ProcessFaults(breaking_share=1.0)
+        with pytest.raises(OSError) as first_error:
             sock.recv(1)
-        assert broken.value.errno in process_faults.BROKEN_ERRNOS
-        faulty.faults = ProcessFaults()
-        with pytest.raises(OSError) as still:
+        assert first_error.value.errno in process_faults.BROKEN_ERRNOS
+        injector.faults = ProcessFaults()
+        with pytest.raises(OSError) as second_error:
             sock.recv(1)
-        assert still.value.errno == errno.ECONNRESET
+        assert second_error.value.errno == errno.ECONNRESET
 
 
-def test_one_seed_on_a_few_processes() -> None:
+def test_one_seed_with_a_few_processes_violates_no_rule() -> None:
     result = play_soak(draw_plan(5, routers=4))
     assert result.violations == ()
     assert result.run.totals["served_share"] > 0.4
