--- a/tests/readability.py
+++ b/tests/readability.py
@@ -1,11 +1,11 @@
-"""Counts what is left to clean up in each package, as a table for docs/readability.md.
+"""Counts the findings that are left to clean up in each package, as a table for docs/readability.md.
 
-    python -m tests.readability                  the table of this checkout
-    python -m tests.readability ../old           of another checkout, by the rules of this one
-    python -m tests.readability --list           each finding with its file and line
+    python -m tests.readability                  prints the table of this checkout
+    python -m tests.readability ../old           prints that of another checkout, by the rules of this one
+    python -m tests.readability --list           prints each finding with its file and line
 
-The lint rules are those of pyproject.toml without the exceptions of packages that are still to be rewritten;
-the exceptions of tests count.
+The lint rules are those of pyproject.toml, without the exceptions for packages that are still to be
+rewritten. The exceptions for tests apply.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 MAX_FILE_LINES = 400
 SOURCE_FOLDERS = ("rosepick", "tests")
 
-# Words of the old house style, as parts of identifiers: what docs/glossary.md replaced by terms of the field.
+# Words that docs/glossary.md replaced by terms of the field, as parts of identifiers.
 OLD_IDENTIFIER_WORDS = frozenset(
     """
     blame contender contenders crowd crowded deed deeds door doors envelope envelopes errand heard
@@ -38,7 +38,7 @@
     tells tended told trouble troubles warden who why wish witness witnesses
     """.split()
 )
-# Classes and functions that were renamed, by their whole names, where these cannot mean anything else.
+# Full names of classes and functions that were renamed and that have no other meaning.
 OLD_DEFINITIONS = frozenset(
     """
     Asked Ask Beaten Carrier Ceiling Came Conn Decider Declined Dials Do Elsewhere Eye Eyes Flow
@@ -48,14 +48,14 @@
     give_way go_on gone let_in proven stand_in_line take_on teach want_in want_out went_to write_off
     """.split()
 )
-# The same in docstrings and comments, where some of the words above are ordinary English.
+# Replaced words in docstrings and comments, without those of the words above that are ordinary English.
 OLD_PHRASES = re.compile(
     r"\b(sender sides?|next hops?|envelopes?|delivery attempts?|transport maps?|told|tells|spoilt|owed"
     r"|crowd(?:ed)?|doors?|errands?|ledgers?|wardens?|contenders?|witness(?:es)?|troubles?|signs? of life"
     r"|way back|wide slots)\b",
     re.IGNORECASE,
 )
-# What users type and what is stored keeps its name: commands, their options, keys of files.
+# Commands, their options and keys of files keep their names.
 STORED_PHRASES = re.compile(
     r"`[^`]*`|\brosepick witness\b|\bwitness (?:run|found|status|replace|remove)\b|\bwitness\.sqlite3\b"
     r"|\[(?:witnesses|troubles)\]|\bdoors_part\b"
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredName:
-    """An identifier that keeps its word, as it is the name of an option, a command or a stored key."""
+    """An identifier that keeps an old word because it names an option, a command or a stored key."""
 
     path: str
     name: str
@@ -74,7 +74,7 @@
     {
         StoredName("rosepick/cli/fleet.py", "door"),  # option `--door`
         StoredName("rosepick/cli/lease.py", "witness"),  # command `rosepick witness`
-        StoredName("rosepick/cli/leasing.py", "witness"),  # the same, before the file had its present name
+        StoredName("rosepick/cli/leasing.py", "witness"),  # the same command, in the file's former name
         StoredName("rosepick/settings/fleet_file.py", "lonely"),  # key of [drains]
         StoredName("rosepick/settings/fleet_file.py", "witnesses"),  # [witnesses]
         StoredName("rosepick/lab/experiment.py", "troubles"),  # [[troubles]]
@@ -83,7 +83,7 @@
 
 
 class FindingKind(Enum):
-    """What is counted; the value is the column's title."""
+    """Kinds of findings; the value is the title of its column."""
 
     UNFORMATTED = "unformatted files"
     LINT = "lint findings"
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing to clean up; `path` is relative to the tree."""
+    """One place to clean up; `path` is relative to the tree."""
 
     kind: FindingKind
     path: str
@@ -104,13 +104,13 @@
 
     @property
     def package(self) -> str:
-        """Folder of the file: the row of the table that it counts for."""
+        """Folder of the file, whose row of the table counts the finding."""
         return package_of(self.path)
 
 
 @dataclass(frozen=True, slots=True)
 class LintRules:
-    """The part of pyproject.toml that holds for a package that is done."""
+    """Lint rules of pyproject.toml that apply to a package without exceptions."""
 
     select: tuple[str, ...]
     ignore: tuple[str, ...]
@@ -122,12 +122,12 @@
 
     @property
     def format_options(self) -> list[str]:
-        """Options of `ruff format`."""
+        """Command line options for `ruff format`."""
         return [f"--line-length={self.line_length}", f"--target-version={self.target_version}"]
 
     @property
     def check_options(self) -> list[str]:
-        """Options of `ruff check`."""
+        """Command line options for `ruff check`."""
         return [
             *self.format_options,
             f"--select={','.join(self.select)}",
@@ -154,13 +154,13 @@
 
 
 def package_of(path: str) -> str:
-    """Row of a file: its folder, and all tests together."""
+    """Return the row of a file in the table: its folder, or `tests` for all tests."""
     folder = path.rpartition("/")[0]
     return "tests" if folder.split("/")[0] == "tests" else folder
 
 
 def source_files(tree: Path) -> list[Path]:
-    """Python files of the program and its tests, in a fixed order."""
+    """Return the Python files of the program and its tests, sorted by path."""
     return sorted(path for folder in SOURCE_FOLDERS for path in (tree / folder).rglob("*.py"))
 
 
@@ -181,10 +181,10 @@
 
 
 def _run_ruff(tree: Path, arguments: Sequence[str]) -> str:
-    """Run ruff on the source folders of a tree; its standard output.
+    """Run ruff on the source folders of a tree and return its standard output.
 
     Raises:
-        RuntimeError: ruff could not run; findings are no error.
+        RuntimeError: ruff could not run. Findings are not an error.
     """
     folders = [name for name in SOURCE_FOLDERS if (tree / name).is_dir()]
     command = [
@@ -197,20 +197,22 @@
         *arguments[1:],
         *folders,
     ]
-    done = subprocess.run(command, cwd=tree, capture_output=True, text=True, check=False)
-    if done.returncode not in (0, 1):
-        raise RuntimeError(f"ruff ended with status {done.returncode} in {tree}: {done.stderr.strip()}")
-    return done.stdout
+    completed = subprocess.run(command, cwd=tree, capture_output=True, text=True, check=False)
+    if completed.returncode not in (0, 1):
+        raise RuntimeError(
+            f"ruff ended with status {completed.returncode} in {tree}: {completed.stderr.strip()}"
+        )
+    return completed.stdout
 
 
 def find_in_source(path: str, source: str) -> Iterator[Finding]:
-    """Yield what can be seen in one file by itself."""
+    """Yield the findings of one file that need no other file."""
     module = ast.parse(source)
     line_count = len(source.splitlines())
     if line_count > MAX_FILE_LINES:
         yield Finding(FindingKind.LONG_FILE, path, 1, f"{line_count} lines")
     yield from _find_long_functions(path, module)
-    if package_of(path) != "tests":  # a test's name says what it shows
+    if package_of(path) != "tests":  # tests are described by their names
         yield from _find_undocumented(path, module, "")
     yield from _find_old_identifiers(path, module)
     yield from _find_old_phrases(path, source, module)
@@ -277,7 +279,7 @@
 
 
 def _docstrings(module: ast.Module) -> Iterator[tuple[int, str]]:
-    """Yield each docstring with its line, those of attributes included."""
+    """Yield the line and the text of each docstring, including those of attributes."""
     for node in ast.walk(module):
         match node:
             case ast.Expr(value=ast.Constant(value=str(text))):
@@ -299,31 +301,34 @@
 
 
 def format_table(packages: Sequence[str], findings: Sequence[Finding]) -> str:
-    """Return a markdown table with a row a package, all of them listed, and a row of sums."""
+    """Return a Markdown table with a row for each package and a row of sums."""
     header = ["package", *(kind.value for kind in FindingKind)]
     rows = [
         header,
         ["---"] * len(header),
-        *([f"`{name}`", *_counts([one for one in findings if one.package == name])] for name in packages),
+        *(
+            [f"`{name}`", *_counts([finding for finding in findings if finding.package == name])]
+            for name in packages
+        ),
         ["all", *_counts(findings)],
     ]
     return "\n".join(f"| {' | '.join(row)} |" for row in rows)
 
 
 def _counts(findings: Sequence[Finding]) -> list[str]:
-    return [str(sum(one.kind is kind for one in findings)) for kind in FindingKind]
+    return [str(sum(finding.kind is kind for finding in findings)) for kind in FindingKind]
 
 
 def main(arguments: Sequence[str]) -> None:
-    """Print the table or the list of a tree."""
+    """Print the table or the list of findings of a tree."""
     parser = argparse.ArgumentParser(prog="python -m tests.readability", description=__doc__.splitlines()[0])
     parser.add_argument("tree", nargs="?", type=Path, default=ROOT, help="a checkout; else this one")
     parser.add_argument("--list", action="store_true", help="each finding in place of the table")
     options = parser.parse_args(arguments)
     findings = find_all(options.tree, read_lint_rules(ROOT / "pyproject.toml"))
     if options.list:
-        for one in sorted(findings, key=lambda each: (each.path, each.line, each.kind.value)):
-            print(f"{one.path}:{one.line}: {one.kind.value}: {one.text}")
+        for finding in sorted(findings, key=lambda each: (each.path, each.line, each.kind.value)):
+            print(f"{finding.path}:{finding.line}: {finding.kind.value}: {finding.text}")
         return
     files = [path.relative_to(options.tree).as_posix() for path in source_files(options.tree)]
     print(format_table(sorted({package_of(path) for path in files}), findings))
--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -1,4 +1,4 @@
-"""The count of what is left to clean up: each kind is found in a small tree, and clean code has none."""
+"""The count of readability findings: each kind is found in a small tree, and clean code has none."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def tree(tmp_path: Path) -> Path:
-    """A tree with a clean package and an empty folder of tests."""
+    """Create a tree with a clean package and an empty folder of tests."""
     for folder in ("rosepick/core", "tests"):
         (tmp_path / folder).mkdir(parents=True)
         (tmp_path / folder / "__init__.py").write_text('"""A package."""\n')
@@ -50,7 +50,7 @@
     return [(one.kind, one.line) for one in findings]
 
 
-def in_source(source: str, path: str = "rosepick/core/part.py") -> list[Finding]:
+def findings_in_source(source: str, path: str = "rosepick/core/part.py") -> list[Finding]:
     return list(find_in_source(path, source))
 
 
@@ -76,7 +76,7 @@
     assert findings[0].text.startswith("D205 ")
 
 
-def test_exceptions_of_tests_count(tree: Path, rules: LintRules) -> None:
+def test_exceptions_for_tests_apply(tree: Path, rules: LintRules) -> None:
     (tree / "tests" / "test_part.py").write_text("def test_part() -> None:\n    assert True\n")
     assert find_all(tree, rules) == []
 
@@ -84,13 +84,13 @@
 @pytest.mark.parametrize(("lines", "count"), [(MAX_FUNCTION_LINES, 0), (MAX_FUNCTION_LINES + 1, 1)])
 def test_long_function_is_found(lines: int, count: int) -> None:
     body = "    value = 1\n" * (lines - 2)
-    found = in_source(f'"""A module."""\n\n\ndef part() -> None:\n    """Do it."""\n{body}')
+    found = findings_in_source(f'"""A module."""\n\n\ndef part() -> None:\n    """Do it."""\n{body}')
     assert kinds_and_lines(found) == [(FindingKind.LONG_FUNCTION, 4)] * count
 
 
 @pytest.mark.parametrize(("lines", "count"), [(MAX_FILE_LINES, 0), (MAX_FILE_LINES + 1, 1)])
 def test_long_file_is_found(lines: int, count: int) -> None:
-    found = in_source('"""A module."""\n' + "LIMIT_MS = 5\n" * (lines - 1))
+    found = findings_in_source('"""A module."""\n' + "LIMIT_MS = 5\n" * (lines - 1))
     assert kinds_and_lines(found) == [(FindingKind.LONG_FILE, 1)] * count
 
 
@@ -105,9 +105,9 @@
         "    def run(self) -> None: ...\n"
         "async def fetch() -> None: ...\n"
     )
-    assert [one.text for one in in_source(source)] == ["module", "Part", "Part.run", "fetch"]
-    assert {one.kind for one in in_source(source)} == {FindingKind.UNDOCUMENTED}
-    assert in_source(source, "tests/test_part.py") == []
+    assert [one.text for one in findings_in_source(source)] == ["module", "Part", "Part.run", "fetch"]
+    assert {one.kind for one in findings_in_source(source)} == {FindingKind.UNDOCUMENTED}
+    assert findings_in_source(source, "tests/test_part.py") == []
 
 
 @pytest.mark.parametrize(
@@ -128,12 +128,12 @@
     ],
 )
 def test_old_word_is_found(source: str) -> None:
-    found = in_source(f'"""A module."""\n{source}\n')
+    found = findings_in_source(f'"""A module."""\n{source}\n')
     assert [one.kind for one in found] == [FindingKind.OLD_WORD]
 
 
-def test_old_words_in_docstrings_are_found_each() -> None:
-    found = in_source('"""The Sender side is told; a next hop has the witness\'s word."""\n')
+def test_each_old_word_in_a_docstring_is_found() -> None:
+    found = findings_in_source('"""The Sender side is told; a next hop has the witness\'s word."""\n')
     assert [one.text for one in found] == ['"sender side"', '"told"', '"next hop"', '"witness"']
 
 
@@ -147,14 +147,14 @@
         '"""A module."""\ntext = "the sender side"',
     ],
 )
-def test_stored_names_and_uses_are_not_counted(source: str) -> None:
-    assert in_source(source + "\n") == []
+def test_stored_names_and_uses_of_names_are_not_counted(source: str) -> None:
+    assert findings_in_source(source + "\n") == []
 
 
-def test_option_keeps_its_name_in_its_own_file_only() -> None:
+def test_name_of_an_option_is_allowed_in_its_own_file_only() -> None:
     source = '"""A module."""\n\n\ndef run(door: str) -> None:\n    """Do it."""\n'
-    assert in_source(source, "rosepick/cli/fleet.py") == []
-    assert kinds_and_lines(in_source(source, "rosepick/cli/lab.py")) == [(FindingKind.OLD_WORD, 4)]
+    assert findings_in_source(source, "rosepick/cli/fleet.py") == []
+    assert kinds_and_lines(findings_in_source(source, "rosepick/cli/lab.py")) == [(FindingKind.OLD_WORD, 4)]
 
 
 def test_identifiers_are_split_into_words() -> None:
@@ -163,7 +163,7 @@
     assert identifier_words("MAX_DOORS_MS") == ["max", "doors", "ms"]
 
 
-def test_table_has_a_row_for_each_package_and_sums() -> None:
+def test_table_has_a_row_for_each_package_and_a_row_of_sums() -> None:
     findings = [
         Finding(FindingKind.LINT, "rosepick/net/a.py", 1, "E501"),
         Finding(FindingKind.LINT, "rosepick/net/b.py", 1, "E501"),
@@ -177,7 +177,7 @@
     ]
 
 
-def test_ruff_that_cannot_run_is_an_error(tree: Path, rules: LintRules) -> None:
+def test_ruff_failure_is_an_error(tree: Path, rules: LintRules) -> None:
     broken = LintRules(("NO_SUCH_RULE",), (), (), 110, rules.target_version, "google", 10)
     with pytest.raises(RuntimeError, match="status 2"):
         find_all(tree, broken)
