--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -299,13 +299,13 @@
         document["settings"] = {**SETTINGS, "request_classes": classes}
         return document
 
-    def retry_after_connect(self, after: float) -> None:
-        """Retry a write after a malformed response, with a connect that takes `after` milliseconds."""
+    def retry_after_connect(self, connect_ms: float) -> None:
+        """Retry a write after a malformed response, with a connect that takes `connect_ms`."""
         self.play("c1 send PUT /api/k1 value\norigin expect PUT /api/k1\norigin hold")
         self.play("origin raw HTTP/1.1 nonsense\\r\\n\\r\\n\nall holds engine.pending_count 1")
         (connection,) = self.server.pool.busy.values()
         assert connection.is_connecting
-        self.wait(after)
+        self.wait(connect_ms)
         with mock.patch.object(TcpStream, "finish_connect"), mock.patch.object(TcpStream, "write") as write:
             write.return_value = 0
             connection.on_ready(WRITE)
@@ -491,9 +491,8 @@
         self.play(FIRST)
         self.wait(endpoint_watch.FIRST_RESPONSE_TIMEOUT_MS + 50)
         self.play("d tell 42 s1=leaving\nc1 send GET /api/k1\nc1 expect 503\ns1 expect nothing")
-        self.play(
-            f"wait {RETRY_DELAYS_MS[0]}"
-        )  # the next poll had the old revision, so its response changes nothing
+        # The next poll had the old revision, so its response changes nothing.
+        self.play(f"wait {RETRY_DELAYS_MS[0]}")
         self.assertEqual(self.server.endpoint_directory.revision, 42)
 
     def test_an_overdue_poll_that_fails_does_not_end_the_next_one(self) -> None:
