--- a/rosepick/capture/recorder.py
+++ b/rosepick/capture/recorder.py
@@ -27,8 +27,9 @@
 )
 from .ring_buffer import LineRing
 
-MAX_PENDING_RECORDS = 64  # pending records are formatted together
-# A pending word of a client keeps one byte more than an encoded word, so that its truncation is visible.
+MAX_PENDING_RECORDS = 64  # number of pending records that are formatted together
+# Pending keys and headers of clients are cut to one byte more than an encoded word may have, so that the
+# encoder still detects which of them are too long.
 MAX_PENDING_WORD_BYTES = record_format.MAX_WORD_CHARS + 1
 # Largest chunk of lines that is appended at once, unless one line is longer; at most a quarter of a segment.
 MAX_CHUNK_BYTES = 4096
--- a/rosepick/capture/replay.py
+++ b/rosepick/capture/replay.py
@@ -287,7 +287,11 @@
     def _schedule_recorded_outcome(
         self, request: ReplayedRequest, attempt: ReplayedAttempt, recorded: AttemptOutcomeRecord
     ) -> None:
-        """Schedule the recorded outcome after the recorded latency, for an attempt that is sent later now."""
+        """Schedule the recorded outcome of an attempt that the replay sends after the outcome's record.
+
+        The outcome follows the send after the recorded latency. The attempt times out instead if the router
+        caused the recorded result, or if the outcome would come after the timeout.
+        """
         ends_at = attempt.sent_at + recorded.latency_ms
         if recorded.result in _ROUTER_RESULTS or ends_at >= attempt.stop_at:
             self._schedule_timeout(request, attempt)
--- a/rosepick/coordination/detector_driver.py
+++ b/rosepick/coordination/detector_driver.py
@@ -67,6 +67,11 @@
             holder.release()
 
     def _handle_lease_event(self, event: str) -> None:
+        """Create the failure detector and the rollout leader, and read reports, once the lease is held.
+
+        Args:
+            event: value of the lease's new `LeaseState`, or "doubt"; the others are ignored.
+        """
         if event != LeaseState.HELD.value or self._lease_holder is None:
             return
         self._detector = FailureDetector(self._agent.budget, self._config.detector, self._loop.now())
--- a/rosepick/core/body_stream.py
+++ b/rosepick/core/body_stream.py
@@ -15,7 +15,7 @@
 
 
 def _ignore() -> None:
-    """Do nothing; this is the callback of a side that does not wait."""
+    """Do nothing: the callback of a reader or writer that does not wait."""
 
 
 class BufferBudget:
@@ -61,13 +61,13 @@
         self.received_bytes = 0
         self.buffered_bytes = 0
         self.on_readable: Callable[[], None] = _ignore  # bytes arrived, or the body is complete or aborted
-        self.on_writable: Callable[[], None] = _ignore  # there is capacity again
+        self.on_writable: Callable[[], None] = _ignore  # the stream has buffer capacity again
         self._budget: BufferBudget | None = budget
         self.is_paused = False  # the writer waits; stored, as capacity may grow when other streams end
         self._chunks: deque[bytes] = deque()
         budget.stream_count += 1
 
-    # ------------------------------------------------------------------------------------- writer's side
+    # ------------------------------------------------------------------------------ calls of the writer
 
     def writable_bytes(self) -> int:
         """Return how many bytes may be written now."""
@@ -107,7 +107,7 @@
             if self._notifies_reader:
                 self.on_readable()
 
-    # ------------------------------------------------------------------------------------- reader's side
+    # ------------------------------------------------------------------------------ calls of the reader
 
     def read(self, max_bytes: int) -> list[bytes]:
         """Remove and return the next chunks, `max_bytes` in all at most."""
--- a/rosepick/core/endpoint_directory.py
+++ b/rosepick/core/endpoint_directory.py
@@ -15,7 +15,7 @@
 
 _STATUS_BY_NAME = {"active": api.Status.READY, "leaving": api.Status.DRAINING, "left": api.Status.REMOVED}
 
-# The start time of an endpoint that started when the loop's clock was 0, as 0 means "long ago".
+# `started_at` of an endpoint that started when the loop's clock was 0, because 0 stands for "long ago".
 _ZERO_START_MS = 1e-3
 
 
@@ -37,7 +37,7 @@
     """Return a hash of a row as received; a row with values that are not scalars gets an arbitrary one."""
     try:
         return hash(tuple(row.items()))
-    except TypeError:  # it contains a list or an object
+    except TypeError:  # the row contains a list or an object
         return id(row)
 
 
@@ -69,7 +69,7 @@
 
     event: api.EndpointUpdate
     retired_endpoint_ids: tuple[int, ...]
-    retired_uids: tuple[str, ...]  # those that were ready before, for the log
+    retired_uids: tuple[str, ...]  # uids of retired endpoints that were ready before, for the log
 
 
 class EndpointDirectory:
@@ -86,7 +86,7 @@
         self.endpoints: dict[int, EndpointEntry] = {}
         self.ids_by_uid: dict[str, int] = {}
         self._uids_by_id: dict[int, str] = {}
-        self._rows_by_uid: dict[str, ParsedRow] = {}  # of the listed endpoints
+        self._rows_by_uid: dict[str, ParsedRow] = {}  # rows of the listed endpoints
         self._new_uids: list[str] = []  # uids to which the present update has assigned ids
         self.revision = 0
 
@@ -177,7 +177,7 @@
             )
         boot_unix_ms = row.number("boot_ms", 0.0)
         started_at = 0.0
-        if boot_unix_ms > 0:  # negative if it started before the clock's zero
+        if boot_unix_ms > 0:  # `started_at` is negative if the endpoint started before the clock's zero
             started_at = boot_unix_ms - self.unix_offset_ms or _ZERO_START_MS
         uid = row.text("uid")
         address = row.parsed("endpoint", parse_address, ADDRESS_FORMAT, ("", 0))
--- a/rosepick/core/engine.py
+++ b/rosepick/core/engine.py
@@ -62,7 +62,7 @@
         self.settings = settings
         self.router: DecisionModule = decision_module or Router(settings, seed)
         self.clock = clock
-        self.requests: dict[int, RequestContext] = {}  # by ref
+        self.requests: dict[int, RequestContext] = {}  # requests in progress, by ref
         self.pending_count = 0  # requests without their final answer
         self.counts: Counter[str] = Counter()
         self.request_counters = RequestCounters()
@@ -72,7 +72,7 @@
         self._events: deque[api.Event | RequestContext] = deque()
         self._is_dispatching = False
 
-    # ------------------------------------------------------------------------------------ occurrences
+    # --------------------------------------------------------------- calls of protocol adapters and drivers
 
     def accept(self, request: RequestContext, downstream: DownstreamPort) -> None:
         """Accept a request; from now on `downstream` is due its final answer."""
@@ -112,7 +112,7 @@
         )
 
     def complete_upload(self, request: RequestContext, deadline: float) -> None:
-        """Record the last byte of a partial request: its time counts from now on."""
+        """Record the last byte of a partial request; its time counts from now until `deadline`."""
         if request.is_finished or not request.is_partial:
             return
         request.is_partial = False
@@ -131,7 +131,7 @@
             return
         self._close_request(request, RequestOutcome.CLIENT_GONE)
         if request.response_started:
-            self.upstream.cancel_attempt(request.attempts[-1])  # the module has seen the end of it
+            self.upstream.cancel_attempt(request.attempts[-1])  # the module has already received its end
             self._release_if_finished(request)
             return
         self._dispatch(api.ClientDisconnected(request.ref))
@@ -356,8 +356,8 @@
             self.finish_attempt(attempt, Result.NEVER_SENT)
             return
         self.counts["attempts"] += 1
-        # fires before the module's deadline timer: a timeout is evidence about the endpoint, a cancelled
-        # attempt is not
+        # The timeout fires before the module's deadline timer: a timeout is evidence about the endpoint, and
+        # a cancelled attempt is not.
         self._set_attempt_timeout(attempt, stop_at)
         try:
             self.upstream.start_attempt(attempt)
@@ -366,7 +366,7 @@
             log_exception(logger, "attempt_fault", error, ref=request.ref, count=self.counts["faults"])
             if attempt.is_in_flight:
                 self.upstream.cancel_attempt(attempt)
-                self.finish_attempt(attempt, Result.RESET)  # it may have been executed
+                self.finish_attempt(attempt, Result.RESET)  # the endpoint may have executed the attempt
 
     def _set_attempt_timeout(self, attempt: UpstreamAttempt, stop_at: float) -> None:
         if attempt.timeout_timer is not None:
@@ -528,7 +528,7 @@
     def _log_unserved(
         self, request: RequestContext, outcome: RequestOutcome, cause: str, elapsed_ms: float
     ) -> None:
-        """Log why a request was not served, and how each of its attempts ended."""
+        """Log why a request was not served, and the endpoint and result of each of its attempts."""
         log_event(
             logger,
             logging.INFO,
--- a/rosepick/core/observed_engine.py
+++ b/rosepick/core/observed_engine.py
@@ -13,7 +13,7 @@
 from .request_context import RequestContext
 from .request_counters import RequestOutcome
 
-logger = logging.getLogger("rosepick.core.engine")  # it logs under the engine's name
+logger = logging.getLogger("rosepick.core.engine")  # log lines keep the engine's logger name
 
 
 class ObservedEngine(Engine):
--- a/rosepick/core/ports.py
+++ b/rosepick/core/ports.py
@@ -12,14 +12,14 @@
 class DecisionModule(Protocol):
     """Makes the decisions: `Router`, or another policy with the same interface."""
 
-    actions: list[api.Action]  # of the current call, even if it raised an exception
+    actions: list[api.Action]  # actions decided in the current `handle` call, also if it raised an exception
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Return the actions that an event calls for; `now` is in milliseconds."""
 
 
 class UpstreamPort(Protocol):
-    """Carries out attempts. It reports the end of each one once, by `Engine.finish_attempt`."""
+    """Executes attempts. It reports the end of each attempt once, through `Engine.finish_attempt`."""
 
     def start_attempt(self, attempt: UpstreamAttempt) -> None:
         """Start an attempt."""
--- a/rosepick/core/request_context.py
+++ b/rosepick/core/request_context.py
@@ -52,23 +52,23 @@
     is_retry: bool = False
     cost_hint: float | None = None
     payload: object = None  # the request in the protocol adapter's form, for the upstream
-    ref: int = 0  # the number that the engine gave the request
+    ref: int = 0  # number that the engine assigned to the request
     downstream: DownstreamPort | None = None
     is_finished: bool = False
-    is_partial: bool = False  # its last byte has not arrived; the deadline is provisional
-    response_started: bool = False  # a response is being forwarded
-    limits: api.RouterLimits = field(default_factory=api.RouterLimits)  # as of its arrival
+    is_partial: bool = False  # whether its last byte is still missing; the deadline is then provisional
+    response_started: bool = False  # whether the forwarding of a response has begun
+    limits: api.RouterLimits = field(default_factory=api.RouterLimits)  # in force at its arrival
     attempts: list[UpstreamAttempt] = field(default_factory=list)
     watchdog_timer: TimerHandle | None = None
-    started_at: float = 0.0  # when its time began to count
-    read_late_ms: float = 0.0  # how long it may have waited before it was read
-    busy_ms: float = 0.0  # for how long the router had not been idle when it was read
+    started_at: float = 0.0  # start of the request's time, from which its duration is measured
+    read_late_ms: float = 0.0  # upper bound for its wait before the router read it
+    busy_ms: float = 0.0  # time since the router was last idle, when it read the request
     client_id: str = ""  # the client's own id of the request, for the log
-    # checks the connection itself, as a disconnect may not have been noticed
+    # Checks the client's connection itself, because the loop may not have reported a disconnect yet.
     client_has_left: Callable[[], bool] = _assume_connected
 
     def awaits_response(self) -> bool:
-        """Return whether its final answer is due.
+        """Return whether the final answer to the request is due.
 
         Guards against a second answer while a response is being forwarded.
         """
@@ -94,12 +94,12 @@
     """One attempt at one endpoint. Times are milliseconds of the event loop's clock."""
 
     request: RequestContext
-    number: int  # its index among the attempts of the request
+    number: int  # index of the attempt among the attempts of the request
     endpoint_id: int
     sent_at: float
-    stop_at: float  # when it times out
-    begin_by: float  # its first byte must not be written later
+    stop_at: float  # time at which the attempt times out
+    begin_by: float  # latest time for the write of its first byte
     is_in_flight: bool = True
-    result: api.Result | None = None  # once it has ended
-    is_fully_written: bool = False  # its last byte was written: an endpoint cannot execute it before
+    result: api.Result | None = None  # result of the attempt; None until it has ended
+    is_fully_written: bool = False  # whether its last byte was written; no endpoint can execute it before
     timeout_timer: TimerHandle | None = None
--- a/rosepick/core/request_counters.py
+++ b/rosepick/core/request_counters.py
@@ -19,7 +19,7 @@
     FAILED = "failed"
     DEADLINE_EXCEEDED = "late"  # failed at its deadline
     CLIENT_GONE = "gone"  # the client disconnected first
-    INTERNAL_ERROR = "broke"  # failed by a fault of this program
+    INTERNAL_ERROR = "broke"  # failed because of a fault of this program
 
 
 class RequestCounters:
--- a/rosepick/lab/drill/drain_harness.py
+++ b/rosepick/lab/drill/drain_harness.py
@@ -57,7 +57,7 @@
 # a connection that is closed within this time was closed at once, without a read; a longer one timed out
 UNREAD_CONNECTION_MAX_S = 0.5
 FORCED_DRAIN_WINDOW_S = 20.0  # after an immediate drain request, during which the budget does not apply
-REINSTATEMENT_DELAY_S = 6.0  # until a reinstated member is known to be in
+REINSTATEMENT_DELAY_S = 6.0  # from a reinstatement until the history records it and the member has to be in
 REJOIN_DEADLINE_S = 35.0  # until all members are in, once faults and drains have ended
 HEARTBEAT_INTERVAL_S, HEARTBEAT_TIMEOUT_S = 0.8, 4.0
 # the routers' settings `warm_after` and `cold_from`: the length of a warm-up, and the share at its start
@@ -394,10 +394,15 @@
         )
 
     def _resume_drains(self) -> None:
+        """Send the order to resume drains.
+
+        The history has the order before it is sent, as drains may begin before its outcome is known, and
+        again after an outcome that is committed or unknown.
+        """
         self.events.append(OperatorOrderAccepted("crew", drill_clock(), "resume"))
 
         def on_outcome(outcome: OperationOutcome) -> None:
-            # an unknown outcome may be committed after a later halt
+            # A resume with an unknown outcome may be committed after a later halt and end that halt.
             if outcome.kind in (
                 OutcomeKind.COMMITTED,
                 OutcomeKind.UNKNOWN,
--- a/rosepick/lab/drill/release_invariants.py
+++ b/rosepick/lab/drill/release_invariants.py
@@ -15,8 +15,8 @@
     """Properties of releases; reports and tests/mutations.toml contain the values."""
 
     PERMISSION = "reach"  # members run only versions that the rollout record allows them
-    EXPOSURE = "stopped"  # a bad version runs on few members
-    CONVERGENCE = "one version"  # at the end all members run the version of the record
+    EXPOSURE = "stopped"  # only a limited number of members ever run a bad version
+    CONVERGENCE = "one version"  # at the end all members run the version in the rollout record
     ROLLBACK = "taken back"  # at the end no member is assigned a bad version
 
 
@@ -90,10 +90,11 @@
         return start.at <= self._allowed_until.get((start.process, start.version), -1.0)
 
     def finish(self) -> None:
-        """Check the invariants that concern the whole history or its end."""
+        """Check the invariants that concern the whole history or its end, after all events were added."""
         for version, max_members in self._bounds.max_members_by_bad_version.items():
             member_count = len(self._members_by_version.get(version, ()))
             self.counts["bad versions begun"] += member_count > 0
+            # Drills name a bad version by its kind, a dash and a number; the count is by kind.
             self.counts[f"members that ran {version.partition('-')[0]}"] += member_count
             if member_count > max_members:
                 text = f"{member_count} members ran the bad version {version}, the limit is {max_members}"
@@ -102,7 +103,7 @@
             self._check_final_versions(self._last_decision)
 
     def _check_final_versions(self, decision: ReleaseDecided) -> None:
-        """Check that all members run the version of the last decision, and that it is not a bad one."""
+        """Check that the last release is closed and that all members run its version, not a bad one."""
         if not decision.over:
             text = f"release {decision.number} is still open at the end"
             self.violations.append(Violation(ReleaseInvariant.CONVERGENCE.value, text, (decision,)))
@@ -114,7 +115,7 @@
         ]
         if mismatched_starts:
             names = ", ".join(start.process for start in mismatched_starts)
-            text = f"{names} do not run {decision.version}, the version of the record"
+            text = f"{names} do not run {decision.version}, the version in the rollout record"
             self.violations.append(
                 Violation(ReleaseInvariant.CONVERGENCE.value, text, (decision, *mismatched_starts))
             )
--- a/rosepick/lab/drill/simulated_faults.py
+++ b/rosepick/lab/drill/simulated_faults.py
@@ -17,16 +17,18 @@
 from .simulated_replica import SimulatedReplica
 from .simulation import SimulatedProcess
 
-OLDER_STORAGE_EXCLUSION_S = 9.0  # no other faults of replicas and links while an older storage is restored
+# Time without other faults of replicas and links, from the copy of a storage that is restored later.
+OLDER_STORAGE_EXCLUSION_S = 9.0
 OLDER_STORAGE_WORK_S = 4.0  # how long the replica runs before its older storage is restored
-OLDER_STORAGE_ISOLATION_S = 2.5  # how long the replicas that saw its votes are unreachable afterwards
-MAX_LINK_DELAY_S = 1.0  # larger amounts are bytes per second
+OLDER_STORAGE_ISOLATION_S = 2.5  # how long replicas with its votes are unreachable to clients afterwards
+# A fault's `amount` below this is a delay of the link in seconds; any other is its rate in bytes per second.
+MAX_LINK_DELAY_S = 1.0
 TRICKLE_DELAY_S = 0.3  # delay that models a link of few bytes per second
 FORCE_RELEASE_TIMEOUT_MS = 1_500.0
 
 
 class SimulatedFaultInjector:
-    """Injects faults through the handlers of their kinds; it defines those for tests of leases.
+    """Injects faults through the handler of each kind. The constructor sets the handlers for tests of leases.
 
     `counts` has the number of injected faults by kind.
     """
@@ -81,7 +83,7 @@
         }
 
     def inject(self, number: int, fault: Fault) -> None:
-        """Inject a fault unless the cluster's state forbids it at this time."""
+        """Inject a fault, unless faults are suspended or a majority of intact storages is not certain."""
         simulation = self._simulation
         replaces_file = fault.kind in (FaultName.OLDER_STORAGE, FaultName.COPIED_STORAGE)
         faults_suspended = simulation.now < self._faults_suspended_until
@@ -104,7 +106,7 @@
             process.start_if_down()
 
     def _is_quorum_settled(self) -> bool:
-        """Return whether all members of the newest quorum have its epoch and its recorded storage ids."""
+        """Return whether each member of the newest quorum stores it and has the storage id recorded in it."""
         quorums = [
             replica.disk.quorum for replica in self._replicas.values() if replica.disk and replica.disk.quorum
         ]
--- a/rosepick/lab/live/client_connections.py
+++ b/rosepick/lab/live/client_connections.py
@@ -21,7 +21,7 @@
 
 
 class ConnectionWaiter(Protocol):
-    """A try of a client request, which waits for a connection or uses one."""
+    """One try to send a client's request. It waits for a connection or uses one."""
 
     one_shot: bool  # whether the connection is not reused and stays open until the router closes it
 
@@ -114,6 +114,7 @@
         self.stream.set_events(READ | (WRITE if unwritten else 0))
 
     def _read(self) -> None:
+        """Read the answer; any data or end of input without a request in progress breaks the connection."""
         data = self.stream.read()
         if data is None:
             return
--- a/rosepick/lab/live/discovery_server.py
+++ b/rosepick/lab/live/discovery_server.py
@@ -55,7 +55,7 @@
         self.extra_answer_delays_ms: list[float] = []  # for calls without wait, one for each active fault
         self._drained_at: dict[int, float] = {}  # by node number, when it began to drain or was removed
         self._stated_revisions = [0] * listener_count  # the last revision that each router stated in a call
-        self._initial_members: list[Endpoint] = []  # in the configuration of routers at the start of the run
+        self._initial_members: list[Endpoint] = []  # members in the cached list that routers start with
         self._rejection_stream = UniformStream(seed, "discovery turns away")
         self._busy_until_ms = 0.0
 
@@ -120,7 +120,11 @@
         return {"rev": revision, "all": True, "targets": rows}
 
     def initial_document(self, zone: int) -> EndpointDocument:
-        """Return the cached list that routers in a zone start with, which is `stale_by` seconds old."""
+        """Return the cached list that routers in a zone start with, which is `stale_by` seconds old.
+
+        Endpoints with a recorded change are missing from it. It then has revision 0, so that the first poll
+        returns them.
+        """
         new_endpoints = {change.member.endpoint_id for change in self._changes}
         rows = [
             self._endpoint_row(member, zone)
--- a/rosepick/lab/scale/scale_run.py
+++ b/rosepick/lab/scale/scale_run.py
@@ -29,14 +29,14 @@
 from .processor_slices import CpuThrottle
 from .scale_plan import KILL_AFTER_DEADLINE_S, ZONE_NAMES, EndpointTimeline, RouterSignals, ScalePlan
 
-SERVE_ARGUMENTS = ("--capture",)  # as in production
+SERVE_ARGUMENTS = ("--capture",)  # routers record captures, as in production
 READY_TIMEOUT_S = 30.0
 START_DELAY_S = 0.3
 POLL_INTERVAL_S = 0.005
 READY_POLL_INTERVAL_S = 0.05
 RESTART_DELAY_S = 0.2  # from the SIGKILL that follows a SIGTERM to the start of the next process
-MAX_RIG_LATE_S = 0.25  # a run whose test rig was later than this is void
-MAX_HOLD_UP_S = 0.15  # a run whose routers were stopped for longer is void
+MAX_RIG_LATE_S = 0.25  # a run is void if its rig sent a request or played a fault later, or paused for longer
+MAX_HOLD_UP_S = 0.15  # a run is void if its CPU throttle stopped the routers for longer
 # An attempt that arrives later than this after the end of its request is a violation.
 MAX_SEND_AFTER_END_S = 0.1
 LOST_OUTCOMES = ("lost", "broken")
@@ -149,9 +149,9 @@
 
     def __init__(self, plan: ScalePlan, folder: Path) -> None:
         self.plan = plan
-        self.begin_s = time.monotonic()
-        self.unix_ms = 1000.0 * time.time()
-        self.fault_late_s = 0.0
+        self.begin_s = time.monotonic()  # begin of the run on the monotonic clock
+        self.unix_ms = 1000.0 * time.time()  # begin of the run in Unix time
+        self.fault_late_s = 0.0  # longest delay of a scheduled fault
         self.routers: list[LiveRouter] = []
         self.downtimes: list[list[tuple[float, float]]] = [[] for _ in range(plan.routers)]
         self.clients: StandInProcess | None = None
@@ -162,6 +162,7 @@
             router = LiveRouter(experiment, index, plan.seed, folder, self._ports["discovery"])
             router.process_start = ProcessStart(arguments=SERVE_ARGUMENTS)
             self.routers.append(router)
+        # Heap of faults: time in seconds of the run, sequence number for equal times, and call.
         self._scheduled_faults: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = count()
         self._cpu_throttle = CpuThrottle(plan.cpu_share, self._router_pids)
--- a/rosepick/net/batch_connection.py
+++ b/rosepick/net/batch_connection.py
@@ -21,7 +21,7 @@
 # Log lines and their rate limits count as those of the batch listener.
 logger = logging.getLogger(f"{__package__}.batch_listener")
 
-DEADLINE_GRACE_MS = 50.0  # time after the deadline for the 504 of the router, before the item gets one here
+DEADLINE_GRACE_MS = 50.0  # wait after the deadline for the router's 504; then this class sets it
 ITEM_READ_TIMEOUT_MS = 2_000.0  # time for a client to read one item that was written
 MAX_READ_AFTER_DEADLINE_MS = 10_000.0  # time after the deadline for a client to read all items
 RETRY_AFTER_S = 1.0  # Retry-After of a batch that is refused
--- a/rosepick/net/client_connection.py
+++ b/rosepick/net/client_connection.py
@@ -40,7 +40,8 @@
 LINGER_MS = 500.0
 LATE_FIRST_REQUEST_MS = 500.0  # minimum time for the rest of a first request whose first bytes arrive late
 BODY_STALL_TIMEOUT_MS = 1_000.0  # maximum time without a body byte, once the head's timeout has passed
-MIN_BODY_BYTES_PER_MS = 32.0  # minimum average body rate from then on: half the rate of a slow client
+# Minimum average rate of a request body, once the head's timeout has passed: half the rate of a slow client.
+MIN_BODY_BYTES_PER_MS = 32.0
 UNREAD_RESPONSE_TIMEOUT_MS = 3_000.0  # maximum time without write progress after the response was due
 
 
@@ -276,8 +277,8 @@
         if self._linger_timer is not None:
             self._linger_timer.cancel()  # otherwise the timer keeps the closed connection in memory
         self.protocol.close()
-        # Before the stream: its close releases a descriptor, and the listener may accept a connection at
-        # once.
+        # Remove the connection before its stream is closed: the close releases a descriptor, and the
+        # listener may accept a connection at once.
         self.listener.remove_connection(self, reason)
         self.stream.close()
 
--- a/rosepick/net/discovery_connection.py
+++ b/rosepick/net/discovery_connection.py
@@ -15,18 +15,18 @@
 from .tcp_stream import TcpStream, dial
 
 logger = logging.getLogger(f"{__package__}.endpoint_watch")
-CONNECT_TIMEOUT_MS = 1_000.0  # the kernel retransmits a SYN after a second
+CONNECT_TIMEOUT_MS = 1_000.0  # the time after which the kernel first retransmits a lost SYN
 
 
 @dataclass(frozen=True, slots=True)
 class Poll:
     """One request to discovery. Times are milliseconds on the event loop's clock."""
 
-    number: int
-    request: bytes
+    number: int  # the sequence number of the poll in its watch
+    request: bytes  # the encoded HTTP request
     after_revision: int | None  # None requests the full list
     timeout_ms: float  # time from the write of the request until its response is overdue
-    begun_at: float
+    begun_at: float  # when the poll was started
 
 
 class DiscoveryConnection:
@@ -56,12 +56,12 @@
         self._on_reply = on_reply
         self._on_overdue = on_overdue
         self._on_failure = on_failure
-        self.poll: Poll | None = None
+        self.poll: Poll | None = None  # the latest poll
         self.is_connecting = False
         self._stream: TcpStream | None = None
-        self._unsent = b""
+        self._unsent = b""  # the part of the poll's request that is not written yet
         self._response = EndpointListReader()
-        self._timer: ScheduledCall | None = None
+        self._timer: ScheduledCall | None = None  # connect timeout, then response timeout
 
     def send(self, poll: Poll) -> None:
         """Start a poll; connect first if necessary.
@@ -115,6 +115,7 @@
             self._timer = None
 
     def _on_ready(self, events: int) -> None:
+        """Handle events of the socket; an exception closes the connection and is reported as its failure."""
         stream = self._stream
         if stream is None:
             return
@@ -149,10 +150,10 @@
         reply = self._response.feed(data) if data else self._response.feed_eof()
         if reply is None:
             return
-        self._cancel_timer()  # before the list is applied, which may take a long time
+        self._cancel_timer()  # no timeout while `on_reply` applies the list, which may take a long time
         if not reply.reusable or not data:
             self.close()
-        self._on_reply(self, reply)  # ValueError if it is malformed
+        self._on_reply(self, reply)  # raises ValueError if the list is malformed
 
     def _fail(self, reason: str) -> None:
         self.close()
--- a/rosepick/net/downstream_connection.py
+++ b/rosepick/net/downstream_connection.py
@@ -62,7 +62,7 @@
         if self.protocol.body_stream is not None:
             self.protocol.body_stream.on_writable = self._update_state
         if self.stream.is_at_end():
-            # Before the request is started, so that it is not forwarded after its client has disconnected.
+            # Handle this before a request is started, so that none is forwarded for a disconnected client.
             self._on_end_of_input()
         self._start_next_request()
         if self.protocol.has_partial_request and not self.protocol.response_pending:
@@ -202,7 +202,7 @@
 
     # ------------------------------------------------------------------------------ final responses
 
-    # The engine passes the request to each of these methods; here it is always the current one.
+    # The engine passes the request to each of these methods; it is always the current request.
 
     def send_response(self, _request: RequestContext, response: object) -> None:
         """Send a complete response."""
--- a/rosepick/net/endpoint_watch.py
+++ b/rosepick/net/endpoint_watch.py
@@ -69,12 +69,12 @@
         self.on_list = on_list
         self.on_failure = on_failure
         self.is_active = False
-        self.has_responded = False  # any response since the start or the latest switch of the service
+        self.has_responded = False  # whether the service responded since the start or the latest switch
         self.poll_count = 0  # polls since the start; the number of the latest poll
         self._connection: DiscoveryConnection | None = None
         # connection of an overdue poll, which may still get a response
         self._overdue: DiscoveryConnection | None = None
-        self._needs_full_list = False  # after a switch of the service, until a list is received
+        self._needs_full_list = False  # true from a switch of the service until a list is received
 
     def set_watching(self, enabled: bool) -> None:
         """Start or stop the watch; enabling an active watch has no effect."""
--- a/rosepick/net/late_refusal.py
+++ b/rosepick/net/late_refusal.py
@@ -28,13 +28,13 @@
     """The class and deadline of a complete request without a body."""
 
     class_index: int
-    deadline_ms: float  # milliseconds from its last byte
+    deadline_ms: float  # time allowed for the response, in milliseconds from the last byte of the request
 
 
 class Lateness(NamedTuple):
     """The delay of a request in the accept queue, in milliseconds."""
 
-    late_ms: float  # upper bound of the time that it waited
+    late_ms: float  # upper bound for the wait of the request
     busy_ms: float  # time since the router was last idle
 
 
--- a/rosepick/net/process_registry.py
+++ b/rosepick/net/process_registry.py
@@ -17,7 +17,7 @@
 from ..logs import log_event
 
 logger = logging.getLogger(__name__)
-MAX_PROCESSES = 4  # processes of one router at a time; more than an upgrade and an abandoned upgrade need
+MAX_PROCESSES = 4  # of one router at a time; more than an upgrade beside an abandoned one needs
 MAX_STATE_BYTES = 2 * 1024 * 1024  # larger exported state is not read
 _DESCRIPTOR_COUNT = struct.Struct("<I")
 
--- a/rosepick/net/server.py
+++ b/rosepick/net/server.py
@@ -79,7 +79,7 @@
         self.reloads_succeeded = 0
         self.reloads_failed = 0
         self._started_at = loop.now()
-        self._list_received = False  # a list from discovery, since the start
+        self._list_received = False  # whether discovery has sent a list since the start
         self._listed_at = self._started_at  # when the latest list or change arrived from discovery
         self._awaits_list = False  # whether clients are accepted only after a list or a timeout
         self.handover = make_handover(loop, config)
--- a/rosepick/net/upstream_connection.py
+++ b/rosepick/net/upstream_connection.py
@@ -199,7 +199,7 @@
         elif body.pause_if_full():
             self.stream.set_events(0)  # wait until the client has read
         elif extra_reads:
-            # Read data received in the meantime, because an event for each part costs as much as the part
+            # Read data that arrived in the meantime, because an event for each part costs as much as the part
             # itself.
             self._read(extra_reads - 1)
 
--- a/rosepick/net/upstream_pool.py
+++ b/rosepick/net/upstream_pool.py
@@ -51,7 +51,7 @@
         self.budget = budget
         self.endpoint_directory = endpoint_directory
         self.origin_kind = config.settings.origin_kind
-        # keyed by whether the upstream is the origin, which has its own connection limit
+        # Keyed by whether the upstream is the origin, which has its own connection limit.
         self.keep_alive = {
             is_origin: KeepAliveController(
                 config.idle_timeout_ms * IDLE_TIMEOUT_FRACTION, config.settings.routers
@@ -59,11 +59,11 @@
             for is_origin in (False, True)
         }
         self.apply(config)
-        # the most recently used last
+        # adaptive timeouts by address; the most recently used is the last
         self.connect_timeouts: OrderedDict[tuple[str, int], ConnectTimeout] = OrderedDict()
         self.engine: Engine
         self.busy: dict[UpstreamAttempt, UpstreamConnection] = {}
-        self.streaming: dict[UpstreamConnection, None] = {}  # busy ones whose response is streamed
+        self.streaming: dict[UpstreamConnection, None] = {}  # busy connections whose response is streamed
         self.idle: dict[int, list[UpstreamConnection]] = {}  # by endpoint id; the most recently used last
         self.idle_by_age: OrderedDict[UpstreamConnection, None] = OrderedDict()  # the longest idle first
         # minimum idle time before a connection is reused, until `reuse_delay_until`
--- a/tests/golden_capture_forms.py
+++ b/tests/golden_capture_forms.py
@@ -179,7 +179,7 @@
 
 
 def router(served: int) -> Router:
-    """Return a decision module with three endpoints that has served `served` requests."""
+    """Return a decision module with three endpoints that has served `served` requests, one every 10 ms."""
     made = Router(api.RouterSettings((api.RequestClass(600, 1200),)), 1)
     made.handle(0.0, api.EndpointUpdate(api.UpdateScope("cached"), tuple(api.Endpoint(n) for n in (7, 8, 9))))
     for ref in range(1, served + 1):
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -85,6 +85,7 @@
         self.play("wait 2900\nc1 expect closed")
 
     def test_idle_connection_is_closed_after_its_timeout_only(self) -> None:
+        """The idle timeout is 8 s by default, and each request restarts it."""
         self.play("""
             c1 send GET /ready
             c1 expect 200
--- a/tests/test_connection_policy.py
+++ b/tests/test_connection_policy.py
@@ -95,7 +95,9 @@
 def send_periodic_requests(
     simulation: ListenerSimulation, client_count: int, interval_ms: float, duration_ms: float
 ) -> tuple[int, int]:
-    """Send periodic requests of clients that each keep one connection.
+    """Send a request of each client every `interval_ms` for `duration_ms`, with staggered starts.
+
+    All clients have the same address, and each keeps one connection while the router leaves it open.
 
     Returns the number of requests in the last quarter of the time, and how many of these needed a new
     connection.
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -177,7 +177,7 @@
         self.play("s1 expect closed\ns1 expect nothing")
 
     def test_behind_a_body_that_waits_for_buffer_space(self) -> None:
-        """During the connect, nothing of the body is forwarded and no more of it is read."""
+        """The close is detected during the connect, when no body bytes are forwarded and no more are read."""
         self.play("origin hold")
         self.put("c1", self.request("/api/k1", method="PUT", length=3_000_000))
         self.put("c1", b"x" * 300_000)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -328,6 +328,7 @@
         self.assertEqual(self.loop.fault_count, 1)
 
     def test_request_that_the_module_never_finishes_fails_after_the_deadline(self) -> None:
+        """The engine fails it 10 ms after the deadline, which is half of `grace_to_answer`."""
         patch = mock.patch.object(self.server.engine.router, "_finish")
         patch.start()
         self.addCleanup(patch.stop)
