--- a/rosepick/core/body_stream.py
+++ b/rosepick/core/body_stream.py
@@ -57,13 +57,14 @@
         self._notifies_reader = notifies_reader
         self.is_complete = False
         self.is_aborted = False
-        self.is_partly_read = False  # part of the body was read, so the buffer no longer holds all of it
+        self.is_partly_read = False  # whether the buffer no longer holds all that arrived
         self.received_bytes = 0
         self.buffered_bytes = 0
         self.on_readable: Callable[[], None] = _ignore  # bytes arrived, or the body is complete or aborted
         self.on_writable: Callable[[], None] = _ignore  # the stream has buffer capacity again
         self._budget: BufferBudget | None = budget
-        self.is_paused = False  # the writer waits; stored, as capacity may grow when other streams end
+        # Whether the writer waits. This is stored, because capacity may also grow when other streams end.
+        self.is_paused = False
         self._chunks: deque[bytes] = deque()
         budget.stream_count += 1
 
@@ -89,7 +90,7 @@
             self.on_readable()
 
     def notify_reader(self) -> None:
-        """Call the reader's callback."""
+        """Call `on_readable`, for a stream that does not notify its reader."""
         self.on_readable()
 
     def finish(self) -> None:
@@ -138,7 +139,7 @@
     def close(self) -> None:
         """Drop the buffered bytes, as there is no reader any more.
 
-        A complete body with unread bytes becomes an aborted one. Guards against an upstream that is sent a
+        A complete body with unread bytes becomes an aborted one. This guards against sending an upstream a
         truncated body as a complete one.
         """
         if self.buffered_bytes:
--- a/rosepick/core/engine.py
+++ b/rosepick/core/engine.py
@@ -182,7 +182,8 @@
     ) -> None:
         """Record the end of an attempt. A served response is forwarded before anything else.
 
-        `malformed`: the response cannot be parsed. `body_consumed`: the body cannot be sent again.
+        `malformed`: whether the response cannot be parsed. `body_consumed`: whether the request body cannot
+        be sent again.
         """
         request = attempt.request
         if not check_invariant(
@@ -262,7 +263,7 @@
     # ----------------------------------------------------------------------------- events and decisions
 
     def _dispatch(self, event: api.Event | RequestContext) -> None:
-        """Decide on events one after another, including those that actions cause immediately."""
+        """Pass events to the module one after another, including those that its actions cause immediately."""
         self._events.append(event)
         if self._is_dispatching:
             return
@@ -283,7 +284,7 @@
         except Exception as error:
             self._handle_fault(event, error)
             # Actions decided before the fault are executed: the module counts their attempts as in flight,
-            # and a tick sets the next tick's timer first.
+            # and the first action of a tick sets the timer of the next one.
             actions = self.router.actions
         for action in actions:
             try:
--- a/rosepick/net/accept_queue.py
+++ b/rosepick/net/accept_queue.py
@@ -36,10 +36,10 @@
     __slots__ = ("_accepted_total", "_is_empty", "_marks", "_since")
 
     def __init__(self, now: float) -> None:
-        self._since = now  # the next accepted connection arrived after this time
+        self._since = now  # time after which the next accepted connection arrived
         self._is_empty = True
         self._accepted_total = 0
-        # pairs of a time and the number of connections that had arrived until then; the earliest first
+        # Pairs of a time and the number of connections that had arrived until then, in order of time.
         self._marks: deque[tuple[float, int]] = deque()
 
     def begin_batch(self, now: float, ready_since: float, length: QueueLength | None) -> None:
--- a/rosepick/net/batch_scheduler.py
+++ b/rosepick/net/batch_scheduler.py
@@ -188,7 +188,7 @@
         self.own_addresses = own_addresses
         self.batches: dict[Batch, None] = {}
         self.idle: list[BatchItemConnection] = []
-        # starts at the worst case and adapts to the sizes of received responses
+        # The expected size starts at the worst case and adapts to the sizes of received responses.
         self.expected_response_bytes = float(batch_protocol.MAX_ITEM_RESPONSE_BYTES)
         self._is_sending = False
 
@@ -228,7 +228,7 @@
         One of several batches uses at most half of the slots, so that a client that does not read cannot
         occupy all.
         """
-        if self._is_sending:  # avoids deep recursion when many items fail at once
+        if self._is_sending:  # a recursive call; without this, many items that fail at once recurse deeply
             return
         self._is_sending = True
         try:
--- a/rosepick/net/capture_output.py
+++ b/rosepick/net/capture_output.py
@@ -126,7 +126,9 @@
             )
             return
         count = os.write(self.fd, chunk)
-        self._unwritten = bytes(chunk[count:])  # a non-blocking descriptor may accept a part
+        self._unwritten = bytes(
+            chunk[count:]
+        )  # a non-blocking descriptor may accept only a part of the chunk
         self.written_bytes += len(chunk)
         self.position = next_position
 
@@ -145,7 +147,7 @@
     is_pipe = stat.S_ISFIFO(os.fstat(fd).st_mode)
     try:
         fcntl.ioctl(fd, termios.FIONREAD if is_pipe else termios.TIOCOUTQ, count)
-    except OSError:  # a regular file
+    except OSError:  # the descriptor is a regular file
         return 0
     return count[0]
 
--- a/rosepick/net/event_loop.py
+++ b/rosepick/net/event_loop.py
@@ -50,10 +50,10 @@
         self.stopped = False
         self.fault_count = 0
         self.load = LoopLoad(self.now())
-        self._polled_at = self.now()  # when the selector last returned
+        self._polled_at = self.now()  # time (ms) at which the selector last returned
         # Lower bound for the arrival time of this turn's events: the previous poll reported all earlier ones.
         self.events_since = self._polled_at
-        self.idle_at = self._polled_at  # the last time at which no socket was ready
+        self.idle_at = self._polled_at  # last time (ms) at which no socket was ready
 
     def now(self) -> float:
         """Return the monotonic time in milliseconds."""
--- a/rosepick/net/late_refusal.py
+++ b/rosepick/net/late_refusal.py
@@ -81,7 +81,7 @@
     )
     if denial is None:
         return None
-    with contextlib.suppress(OSError):  # the client has disconnected
+    with contextlib.suppress(OSError):  # the client may have disconnected
         sock.recv(len(data))
         sock.send(_encode_answer(denial, retry_after_ms(request.class_index)))
     sock.close()
--- a/rosepick/net/listener.py
+++ b/rosepick/net/listener.py
@@ -207,7 +207,7 @@
         close idle upstream connections, and each attempt would need a new one.
         """
         if self._is_at_limit() and (self.policy.has_address_over_quota() or not self.evict_one()):
-            return False  # the decision depends on the address of the new connection
+            return False  # only the address of the new connection, which is not known yet, can decide
         return self.budget.ensure_available(DescriptorUse.DOWNSTREAM)
 
     def _may_accept_over_limit(self) -> bool:
--- a/rosepick/net/loop_load.py
+++ b/rosepick/net/loop_load.py
@@ -43,7 +43,7 @@
     def __init__(self, now: float) -> None:
         self.longest_turn_ms = 0.0  # since the last `reset`
         self.longest_call_ms = 0.0  # since the last `reset`
-        self.long_call_count = 0  # since the start
+        self.long_call_count = 0  # calls longer than `MAX_CALL_MS` since the start
         self._begin(now)
 
     def _begin(self, now: float) -> None:
--- a/rosepick/net/process_handover.py
+++ b/rosepick/net/process_handover.py
@@ -47,7 +47,7 @@
         Args:
             module: the decision module whose state is exported and imported.
             descriptor_count: returns the number of descriptors of this process, which is published to the
-            others.
+                other processes.
             is_serving: returns whether this process accepts clients.
             on_change: called after the other processes or the share of this process changed.
         """
--- a/rosepick/net/upstream_pool.py
+++ b/rosepick/net/upstream_pool.py
@@ -66,7 +66,7 @@
         self.streaming: dict[UpstreamConnection, None] = {}  # busy connections whose response is streamed
         self.idle: dict[int, list[UpstreamConnection]] = {}  # by endpoint id; the most recently used last
         self.idle_by_age: OrderedDict[UpstreamConnection, None] = OrderedDict()  # the longest idle first
-        # minimum idle time before a connection is reused, until `reuse_delay_until`
+        # Minimum idle time in milliseconds before a connection is reused, in force until `reuse_delay_until`.
         self.reuse_delay_ms = 0.0
         self.reuse_delay_until = 0.0
         self.zone = config.settings.zone
--- a/tests/test_multiget.py
+++ b/tests/test_multiget.py
@@ -190,7 +190,7 @@
                 return [(k.decode(), i.decode(), s, len(b)) for k, i, s, b in parse_entries(body)]
         self.fail(f"no complete response, but {self.wires[actor][-1].seen[:500]!r}")
 
-    def nothing_left(self) -> None:
+    def assert_nothing_left(self) -> None:
         self.assertEqual(
             (self.server.budget.buffered_bytes, self.scheduler.batches, self.scheduler.idle), (0, {}, [])
         )
@@ -208,7 +208,7 @@
         self.assertEqual({(key, req_id) for _, key, req_id in self.requests}, {row[:2] for row in entries})
         self.assertNotIn(b"partial", self.body)
         self.assertEqual(self.server.engine.counts["requests"], 40)
-        self.nothing_left()
+        self.assert_nothing_left()
 
     def test_a_stopped_node_causes_no_repeated_request_id(self) -> None:
         self.batch("b1", ["first"])
@@ -227,7 +227,7 @@
         self.assertTrue({req_id for _, _, req_id in self.requests} <= written)
         last = f"partial: {len(failed)} of 30 not served\n".encode() if failed else b"\n"
         self.assertTrue(self.body.endswith(last))
-        self.nothing_left()
+        self.assert_nothing_left()
 
     def test_connections_are_reused_within_a_batch_and_closed_after_it(self) -> None:
         self.batch("b1", [f"k{n}" for n in range(60)])
@@ -332,7 +332,7 @@
         self.assertGreater(min(batch.in_flight for batch in self.scheduler.batches), 0)
         for n in range(3):
             self.assertEqual(len(self.read_entries(f"b{n}")), 64)
-        self.nothing_left()
+        self.assert_nothing_left()
 
     def test_more_batches_than_the_capacity_are_refused(self) -> None:
         for n in range(13):
@@ -369,7 +369,7 @@
         entries = self.read_entries("b1")
         self.assertEqual([row[2:] for row in entries], [(200, MIB)] * 64)
         self.assertLess(self.peak_buffered_bytes, self.server.budget.max_buffered_bytes)
-        self.nothing_left()
+        self.assert_nothing_left()
 
     def test_responses_fit_the_memory_if_the_client_does_not_read(self) -> None:
         self.batch("b1", self.keys)
@@ -384,7 +384,7 @@
             self.play("wait 2500")  # the client that does not read is closed
             self.assertEqual([row[2] for row in self.read_entries("b2")], [200, 200])
         self.assertEqual(self.server.budget.buffered_bytes, 0)
-        self.nothing_left()
+        self.assert_nothing_left()
 
     def test_a_client_that_reads_too_slowly_is_closed(self) -> None:
         self.batch("b1", self.keys)
@@ -403,7 +403,7 @@
                 for connection in self.server.listener.connections
             )
         )
-        self.nothing_left()
+        self.assert_nothing_left()
 
 
 class BatchEndTest(Batches):
@@ -413,14 +413,14 @@
         entries = self.read_entries("b1", serving=False)
         self.assertEqual([row[2] for row in entries], [504, 504, 504])
         self.assertTrue(self.body.endswith(b"partial: 3 of 3 not served\n"))
-        self.nothing_left()
+        self.assert_nothing_left()
 
     def test_an_item_without_a_response_at_the_deadline_gets_504(self) -> None:
         with mock.patch.object(self.server.engine, "accept"):
             self.batch("b1", ["k1"], "0.300")
             self.play("wait 400")
         self.assertEqual([row[2:] for row in self.read_entries("b1", serving=False)], [(504, 0)])
-        self.nothing_left()
+        self.assert_nothing_left()
 
     def test_a_batch_past_its_deadline_sends_no_requests(self) -> None:
         self.batch("b1", [f"k{n}" for n in range(64)], "0")
@@ -441,7 +441,7 @@
         self.play("b1 close\nwait 20")
         self.assertEqual(self.server.engine.totals()["client_gone"], accepted)
         self.assertEqual(self.server.engine.counts["requests"], accepted)
-        self.nothing_left()
+        self.assert_nothing_left()
 
     def test_the_status_of_a_refused_item_is_forwarded(self) -> None:
         self.play("s1 refuse\ns2 refuse\norigin refuse")
@@ -506,7 +506,7 @@
                 self.serve()
         self.assertTrue(self.wires["b1"][0].ended)
         self.assertIsNone(unchunked(self.wires["b1"][0].seen))
-        self.nothing_left()
+        self.assert_nothing_left()
 
 
 class BatchSettingsTest(unittest.TestCase):
