--- a/rosepick/cli/lab_results.py
+++ b/rosepick/cli/lab_results.py
@@ -52,7 +52,10 @@
         Path | None, typer.Option("--printed", help="The bench's printed report of the day.")
     ] = None,
 ) -> None:
-    """Show the lost value of a day by cause, request class, five-second interval and router."""
+    """Show the lost value of a day by cause, request class, five-second interval and router.
+
+    Also shows the events for which the test bench charges a cost, such as attempts, as numbers per request.
+    """
     with require_extra("lab"):
         from ..lab import console
         from ..lab.account.day_report import parse_day_report
--- a/rosepick/fleet/disruption_budget.py
+++ b/rosepick/fleet/disruption_budget.py
@@ -3,8 +3,8 @@
 It limits the members that are out by count, share and weight, in the whole fleet and in each zone. It also
 sets a minimum of members that stay in each zone, closed hours without drains, and anti-affinity groups whose
 members are never out together. A limit covers members that are out for any reason: failed members count first
-and can use up the whole budget. Reduced capacity of the origin lowers the limits of cache nodes down to a
-minimum and never raises them.
+and can use up the whole budget. Reduced capacity of the origin lowers the limits of count and share of both
+kinds down to a minimum and never raises them.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
     zone_share: float = 1.0
     zone_weight: float = 1.0
     stay: int = 1  # minimum number of members that stay in each zone
-    least: int = 1  # reduced capacity of the origin lowers no limit below this
+    least: int = 1  # reduced capacity of the origin lowers no limit below this many members
 
     def max_out_in_zone(self, member_count: int, capacity_permille: int) -> int:
         """Return how many of a zone's members may be out at a capacity of the origin in thousandths."""
--- a/rosepick/settings/fleet_file.py
+++ b/rosepick/settings/fleet_file.py
@@ -52,8 +52,8 @@
 
     `most` limits the number of members that are out. `share` and `weight` limit their fraction of all members
     and of all weight (0 to 1). The fields with the prefix `zone_` set the same limits for each zone. At least
-    `stay` members of each zone stay in. Short capacity of the origin makes the limits smaller, but not
-    smaller than `least`.
+    `stay` members of each zone stay in. Reduced capacity of the origin lowers the limits of number and share
+    in proportion, but not below `least` members. A limit that is lower than `least` stays as it is.
     """
 
     most: Annotated[int, Field(ge=1, le=1_000)] = 1_000
@@ -72,9 +72,10 @@
     `group` names the group whose members are counted together. `closed` lists hours of the day (UTC) in which
     no drain begins, such as "07:00-09:30". `apart` lists members that may not be out together, by the
     resource that they share. `unasked` is the number of members that may be lost beyond the limit before
-    drains are halted. `back` limits the routers that are out in a rollback; None applies `routers`. All
-    drains are halted if a router refuses or fails more than the fraction `halt_above` of its requests during
-    a drain.
+    drains are halted. `back` replaces `routers` when a router leaves to return to the old version in a
+    rollback; None applies `routers`. Its `stay` also applies to immediate drains of routers, to which no
+    other limit applies. All drains are halted if a router refuses or fails more than the fraction
+    `halt_above` of its requests during a drain.
 
     `beat` is the interval between health reports. A member without reports for `silent` counts as lost. A
     member that is out returns after `lonely` without a quorum. A member counts as back after it has served
@@ -125,9 +126,10 @@
     A router with a new version counts as back after it has served for `settle`, which it has to reach within
     `probation`. The rollout skips a member that is lost for `lost_for`. `failing` is the fraction of a wave
     that may fail to start. The canary analysis pools measurements over intervals of `pool`. `alarm` is its
-    false-positive rate: the probability that it takes a version for worse that is not. It yields no result
-    while routers of the old version, too, lose more than the fraction `line` of all requests. With
-    `auto_back`, a worse version is rolled back without a command of an operator.
+    false-positive rate: the probability that it takes a version for worse that is not. Time does not count as
+    observation while routers of the old and the new version together lose more than the fraction `line` of
+    their requests; the analysis continues and can still reject the version. With `auto_back`, a worse version
+    is rolled back without a command of an operator.
     """
 
     waves: list[Annotated[int, Field(ge=1, le=1_000)] | Annotated[str, Field(pattern=WAVE_PATTERN)]] = [
