--- a/rosepick/capture/replay_report.py
+++ b/rosepick/capture/replay_report.py
@@ -10,7 +10,7 @@
 
 STATUS_SERVED = 200
 _DECISION_BY_STATUS = {200: "served", 503: "refused", 502: "failed", 504: "failed", 499: "gone", 500: "broke"}
-"""Decisions by status. 502 and 504 are one decision, as the clock determines which one a client gets."""
+"""Decisions by HTTP status. 502 and 504 are one decision: timing alone determines which one a client gets."""
 
 
 @dataclass(slots=True, eq=False)
@@ -43,7 +43,7 @@
         return self.attempts[number]
 
     def is_different(self, capture_end: float) -> bool:
-        """Return whether the decisions differ, in a capture that ends at `capture_end`.
+        """Return whether the decisions differ, in a capture that ends at `capture_end` (ms, capture's clock).
 
         A capture may end between an event and the records of the resulting decisions. Decisions whose records
         are missing for this reason do not count as differences.
@@ -71,7 +71,11 @@
         )
 
     def _comparable_uids(self, capture_end: float) -> list[str]:
-        """Return the endpoints of the replay, except one whose record may lie behind the capture's end."""
+        """Return the uids of the endpoints to which the replay sent attempts, in order.
+
+        The last one is omitted if it was sent at or after `capture_end` (milliseconds on the capture's clock)
+        and the capture lacks it, because its record may be missing for this reason only.
+        """
         uids = [attempt.uid for attempt in self.attempts]
         if (
             self.final_record is None
--- a/rosepick/cli/fleet.py
+++ b/rosepick/cli/fleet.py
@@ -35,7 +35,7 @@
 
 fleet = typer.Typer(no_args_is_help=True, help="State of the fleet: members, halt, budget, history.")
 
-FULL_CAPACITY_PERMILLE = 1000
+FULL_CAPACITY_PERMILLE = 1000  # the origin's capacity does not reduce the disruption budget
 
 
 @fleet.command()
@@ -66,12 +66,15 @@
     if evicted:
         lines.append(f"written off: {', '.join(evicted)}")
     if state.capacity_permille < FULL_CAPACITY_PERMILLE:
-        lines.append(f"the store has room for {state.capacity_permille / 10:.0f}% of the budget")
+        lines.append(f"the capacity of the origin allows {state.capacity_permille / 10:.0f}% of the budget")
     return Group(*lines)
 
 
 def _phase_table(state: FleetState, budget: DisruptionBudget) -> Table:
-    """Return a table by kind and zone: the number of members in each phase, and how many may be out."""
+    """Return a table by kind and zone: the members in each phase, and how many may be out at a time.
+
+    The last column is the lower of the zone's limit, reduced by the origin's capacity, and the fleet's limit.
+    """
     from rich.table import Table
 
     from ..fleet.disruption_budget import KIND_LABELS
--- a/rosepick/consensus/reconfiguration.py
+++ b/rosepick/consensus/reconfiguration.py
@@ -58,7 +58,7 @@
     names = {member.name for member in members}
     storages = {member.storage_id for member in members}
     if len(names) < len(members) or len(storages) < len(members):
-        return "a replica would vote twice"
+        return "two replicas have the same name or the same storage"
     if not members or len(members) > max(messages.QUORUM_SIZES):
         return f"{len(members)} replicas; a quorum has 1 to {max(messages.QUORUM_SIZES)}"
     joining = set(members) - set(old_quorum.members)
@@ -105,27 +105,29 @@
 
     def start(self) -> OutgoingRequests:
         """Return the first requests."""
-        return self._send_seals()
+        return self._seal_requests()
 
     def retry(self) -> OutgoingRequests:
         """Return the requests of the current phase again, when replies are missing."""
         match self.phase:
             case ReconfigurationPhase.SEAL:
-                return self._send_seals()
+                return self._seal_requests()
             case ReconfigurationPhase.CHOOSE if self._proposer is not None:
                 return self._proposer.retry()
             case ReconfigurationPhase.INSTALL:
-                return self._send_installs()
+                return self._install_requests()
         return []
 
-    def _send_seals(self) -> OutgoingRequests:
+    def _seal_requests(self) -> OutgoingRequests:
+        """Return requests to all old replicas to seal the old epoch, and discard earlier replies to them."""
         quorum = self.old_quorum
         self._request_id = self._next_request_id()
         self._sealed_states = {}
         request = messages.SealEpochRequest(self._request_id, quorum.fleet_id, quorum.epoch)
         return [OutgoingRequest(member.name, request) for member in quorum.members]
 
-    def _send_installs(self) -> OutgoingRequests:
+    def _install_requests(self) -> OutgoingRequests:
+        """Return requests to all new replicas to install the new epoch and its initial registers."""
         assert self.successor is not None
         quorum = self.successor.quorum
         self._request_id = self._next_request_id()
@@ -183,7 +185,7 @@
             return requests
         self.successor = msgspec.msgpack.decode(outcome.register.value, type=SuccessorQuorum)
         self.phase = ReconfigurationPhase.INSTALL
-        return self._send_installs()
+        return self._install_requests()
 
     def _handle_install_reply(self, replica: str, reply: messages.AcceptReply) -> None:
         assert self.successor is not None
--- a/rosepick/coordination/leased_command.py
+++ b/rosepick/coordination/leased_command.py
@@ -19,10 +19,10 @@
     from ..net.event_loop import EventLoop
 
 logger = logging.getLogger(__name__)
-EXIT_NO_QUORUM = 69
-EXIT_LEASE_HELD = 75
-EXIT_LEASE_IN_DOUBT = 76
-EXIT_COMMAND_NOT_STARTED = 127
+EXIT_NO_QUORUM = 69  # the wait timed out, and no quorum responded
+EXIT_LEASE_HELD = 75  # the wait timed out while another client held the lease
+EXIT_LEASE_IN_DOUBT = 76  # the lease was lost or ended, or may have expired
+EXIT_COMMAND_NOT_STARTED = 127  # the command could not be executed
 EXIT_SIGNAL_BASE = 128  # plus the signal's number, as in a shell
 POLL_INTERVAL_MS = 20.0  # interval between two checks of the command
 TERMINATION_GRACE_SHARE = 0.5  # share of the lease's remaining time between SIGTERM and SIGKILL
@@ -71,7 +71,10 @@
         self._received_signal = signal_number
 
     def _wait_for_lease(self, wait_timeout_ms: float | None) -> int | None:
-        """Wait until the lease is held; return an exit status if it is not acquired."""
+        """Wait until the lease is held and return None, or return the exit status if it is not acquired.
+
+        `wait_timeout_ms` limits the wait in milliseconds; None waits without a limit.
+        """
         lease_client = self.holder.lease_client
         started_at = self.loop.now()
         while lease_client.state is LeaseState.WAITING or not self.holder.may_act():
--- a/rosepick/decisions/decide.py
+++ b/rosepick/decisions/decide.py
@@ -295,14 +295,14 @@
 
 
 class LoadShedder:
-    """Learns from late responses which share of the objective an expected wait may take.
+    """Limits expected waits and attempts in flight by the late and slow responses of cache nodes.
 
-    Guards against an overloaded fleet that serves every request a little too late, when it has no value left.
+    It guards against an overloaded fleet that serves every request a little too late, without any value left.
     """
 
     def __init__(self) -> None:
-        self.wait_share = 1.0
-        self.responses, self.late_loss = 0, 0.0  # since the last adjustment
+        self.wait_share = 1.0  # longest expected wait, as a share of the objective
+        self.responses, self.late_loss = 0, 0.0  # since the last adjustment of `wait_share`
         self.in_flight, self.limit = 0, INITIAL_IN_FLIGHT_LIMIT  # attempts at cache nodes
         self.min_limit, self.last_cut_at = 1.0, float("-inf")
 
@@ -312,7 +312,7 @@
         return self.in_flight >= self.limit * (1.0 + VALUE_HEADROOM * relative_value)
 
     def adjust_limit(self, now: float, latency_ms: float, is_slow: bool) -> None:
-        """Adapt to one cache response: additive increase, multiplicative decrease."""
+        """Adapt the in-flight limit to one cache response: additive increase, multiplicative decrease."""
         if not is_slow:
             if self.in_flight + 1 >= self.limit * 0.5:
                 self.limit = min(INITIAL_IN_FLIGHT_LIMIT, self.limit + 1.0 / self.limit)
@@ -323,12 +323,12 @@
             self.last_cut_at = now
 
     def record_loss(self, lost_value: float) -> None:
-        """Record one response, and the part of its value that was lost because it was late."""
+        """Record one response, and the part of its value (0 to 1) that was lost because it was late."""
         self.responses += 1
         self.late_loss += lost_value
 
     def adjust_wait_share(self) -> None:
-        """Lower the wait limit while many responses are late, raise it slowly."""
+        """Lower the wait limit if much value was lost to late responses, else raise it slowly."""
         if self.responses < MIN_SAMPLES:
             return
         if self.late_loss > MAX_LATE_LOSS_SHARE * self.responses:
@@ -340,13 +340,13 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt of a request."""
+    """One attempt of a request. Times are milliseconds."""
 
     server: EndpointState
     sent_at: float
-    load_at_send: float
+    load_at_send: float  # requests that the endpoint held
     to_origin: bool
-    counts_as_fetch: bool
+    counts_as_fetch: bool  # whether it counts against the limit of fetches in flight
     wait: AttemptWait
     in_flight: bool = True
     never_ran: bool = False  # whether its result proves that it had no effect
@@ -354,33 +354,33 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request from its arrival until its final answer and the end of its last attempt."""
+    """A request from its arrival until its final answer and the end of its last attempt; times in ms."""
 
     ref: int
     event: api.RequestArrived
     klass: api.RequestClass
-    limits: api.RouterLimits  # at its arrival; the class too is the one of its arrival
+    limits: api.RouterLimits  # as of its arrival, like `klass`: later settings do not apply to it
     begun_at: float
     deadline: float
     slot: int
     in_keep_pool: bool
-    last_endpoint_id: int
+    last_endpoint_id: int  # endpoint to which its key was last sent; 0 for none
     holders: int  # number of endpoints that hold its key
     value: float
     attempts: list[AttemptRecord] = field(default_factory=list)
     is_final: bool = False
     to_origin: bool = False
-    is_queued: bool = False
-    shares_fetch: bool = False
+    is_queued: bool = False  # whether it waits for admission to the origin
+    shares_fetch: bool = False  # whether it waits for, or has used, another request's fetch
     check_at: float = 0.0  # when to check its attempt next
     overdue_at: float = 0.0  # when its attempt is overdue
-    missed_endpoint: EndpointState | None = None
-    is_partial: bool = False
-    waiters: list[int] = field(default_factory=list)
+    missed_endpoint: EndpointState | None = None  # first endpoint that answered with a miss
+    is_partial: bool = False  # whether its last byte has not arrived yet
+    waiters: list[int] = field(default_factory=list)  # refs of the requests that share its fetch
 
     @property
     def objective_at(self) -> float:
-        """Return the time (ms) from which it no longer has its full value."""
+        """Return the time (ms) from which the request no longer has its full value."""
         return min(self.deadline, self.begun_at + self.klass.objective_ms)
 
     @property
@@ -402,7 +402,7 @@
 
 
 class Router:
-    """One router instance, which makes all sends and enforces the rules."""
+    """Decides for one router instance about all sends and refusals, and enforces the rules."""
 
     def __init__(self, settings: api.RouterSettings, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -494,7 +494,7 @@
         aside_write = event.is_write and self.settings.mode is Mode.ASIDE
         in_keep_pool, last_endpoint_id, read_share = False, 0, 0.0
         if not event.key:
-            in_keep_pool = hash_to_unit(event.ref) < self.pools.keep_share  # no key, so no popularity
+            in_keep_pool = hash_to_unit(event.ref) < self.pools.keep_share  # popularity is by key
         elif not aside_write:
             in_keep_pool, last_endpoint_id, read_share = self.popularity.touch(event.key)
             self.pools.record_read(in_keep_pool)
@@ -524,7 +524,7 @@
             self._send_to_cache(request)
 
     def _complete_request(self, event: api.RequestCompleted) -> None:
-        """Start the clock of a request and of its attempt, as its last byte has arrived."""
+        """Restart the times of a request and of its attempts, as its last byte has arrived."""
         request = self.pending.get(event.ref)
         if request is None or request.is_final or not request.is_partial:
             return
@@ -544,7 +544,7 @@
             self._schedule_overdue(request)
 
     def _send_to_cache(self, request: PendingRequest) -> None:
-        """Send to the holder of the key's slot, or to the next endpoint in order that is quick enough."""
+        """Send to the holder of the key's slot or to a quicker endpoint; queue for the origin, or refuse."""
         if not request.attempts and self.shedder.is_overloaded(request.value / self.max_value):
             self._finish(request, EndReason.OVERLOADED)
             return
@@ -580,7 +580,7 @@
         )
 
     def _choose_endpoint(self, request: PendingRequest) -> EndpointChoice:
-        """Choose the cache node for a request's next attempt, if any; with its expected latency in ms."""
+        """Return the cache node for a request's next attempt, or None, and its expected latency in ms."""
         bound = WAIT_BOUND_SHARE * request.klass.objective_ms
         tried = {a.server.id for a in request.attempts}
         may_stay = request.in_keep_pool and self.pools.wide_share > 0 and request.holders == 1
@@ -593,7 +593,7 @@
                 return current, wait
         best, best_wait = self._search_pools(request, tried, bound)
         if best is None:
-            # if most of the fleet is silent, this router's own network is the likelier cause: try all
+            # Most of the fleet is ejected, and this router's own network is the likelier cause: try all.
             for server in self.pools.fleet_table.order_for(request.slot):
                 if server.status is Status.READY and server.id not in tried and self._has_cold_budget(server):
                     return server, server.expected_latency(self.now, self.service_time)
@@ -649,12 +649,12 @@
                 self.popularity.record_attempt(is_short)
 
     def _fetch_penalty(self, request: PendingRequest, server: EndpointState) -> float:
-        """Return the cost (ms) of the fetch that a move likely takes while the origin is short."""
+        """Return the latency (ms) of the fetch that a move likely costs while the origin is short, else 0."""
         is_short = self.origin_shortages > 0 and self.settings.mode is Mode.ASIDE
         return self.origin.latency_ewma if is_short and not self._is_cached(request, server) else 0.0
 
     def _expected_wait(self, request: PendingRequest, server: EndpointState) -> float:
-        """Return the expected latency (ms); beyond the objective if the concurrency limit is reached."""
+        """Return an endpoint's expected latency (ms); at its concurrency limit, one beyond the objective."""
         wait = server.expected_latency(self.now, self.service_time)
         if server.in_flight >= server.concurrency_limit * (
             1.0 + VALUE_HEADROOM * request.value / self.max_value
@@ -663,7 +663,7 @@
         return wait
 
     def _is_usable(self, server: EndpointState, slot: int) -> bool:
-        """Return whether it is ready, not ejected and, while cold, a holder of this slot with budget left."""
+        """Return whether an endpoint is ready, not ejected and, if cold, has the slot and budget left."""
         if server.status is not Status.READY or server.ejected:
             return False
         if self.now >= server.warmup_end:
@@ -672,8 +672,12 @@
         return holds_slot and self._has_cold_budget(server)
 
     def _has_cold_budget(self, server: EndpointState) -> bool:
-        """Return whether a cold endpoint may get a request, by its share of a warm neighbour's (rule 4)."""
-        # By the least capacity that it can have: in any window all routers together stay within its capacity.
+        """Return whether an endpoint is warm, or its sends are within the budget of a cold one (rule 4).
+
+        The budget is a share of the sends to a warm endpoint of its zone, see `WarmTraffic`.
+        """
+        # The least capacity that the endpoint can have counts, so that in any window the sends of all routers
+        # together stay within its capacity.
         if self.now >= server.warmup_end:
             return True
         span = self._cold_window_ms()
@@ -686,7 +690,7 @@
         # a zone that started as a whole has no warm endpoint: then all warm endpoints count
         warm = near if near.nodes else total
         sends = factor * warm.sends / warm.nodes if warm.nodes else 0.0
-        # hundreds of routers would overload it by one send each, so each draws whether it may send
+        # one send by each of hundreds of routers would overload it, so each router draws whether it may send
         routers = self.settings.routers
         draw = hash_to_unit(hash64(server.id) ^ hash64(self.settings.position << 32 | int(self.now / span)))
         floor = 1.0 if routers <= 2 * MIN_COLD_SENDS else MIN_COLD_SENDS / routers
@@ -698,7 +702,7 @@
         return max(1.0, self.settings.rules.fall)
 
     def _is_warm(self, server: EndpointState, now: float) -> bool:
-        """Return whether it is a ready cache node, not ejected and past its warm-up."""
+        """Return whether an endpoint is a ready cache node, not ejected and past its warm-up."""
         usable = server.status is Status.READY and not server.ejected
         return usable and now >= server.warmup_end and server.endpoint.kind != self.settings.origin_kind
 
--- a/rosepick/decisions/endpoint_state.py
+++ b/rosepick/decisions/endpoint_state.py
@@ -14,7 +14,8 @@
 from .hashing import hash64
 
 EWMA_WEIGHT = 0.15  # weight of a new latency sample
-LATENCY_RECOVERY_MS = 3_000.0  # without new responses, a slow endpoint is assumed to recover over this time
+# time constant of the recovery that is assumed of a slow endpoint without new responses
+LATENCY_RECOVERY_MS = 3_000.0
 REPORT_WEIGHT = 0.25  # weight of a new load report
 REPORT_DECAY_MS = 3_000.0  # time constant of the decay of a load report
 MAX_REPORT_FACTOR = 1.3  # load reports alone raise the expected latency to this multiple of recent responses
@@ -42,7 +43,8 @@
         self.order_key = hash64(endpoint.endpoint_id), endpoint.endpoint_id
         self.in_flight = 0
         self.other_load = 0.0  # requests of other routers, smoothed over load reports
-        self.latency_ewma = self.load_ewma = 0.0  # 0 if it has never responded
+        # latency in ms, and requests held at the time of sending; 0 if it has never responded
+        self.latency_ewma = self.load_ewma = 0.0
         self.concurrency_limit = limit
         self.other_load_at = self.latency_at = self.last_cut_at = self.ejected_at = self.probe_at = now
         self.last_response_at = float("-inf")
@@ -51,7 +53,7 @@
         self.window_sends = 0  # in the window of `WarmTraffic`
 
     def load(self, now: float) -> float:
-        """Return the requests that it holds: this router's, and those of others by decaying load reports."""
+        """Return how many requests it holds: this router's, and those of others by decaying load reports."""
         if self.other_load:
             return self.in_flight + self.other_load * exp((self.other_load_at - now) / REPORT_DECAY_MS)
         return float(self.in_flight)
@@ -81,21 +83,27 @@
             self.last_cut_at = now
 
     def expected_latency(self, now: float, service_time: float) -> float:
-        """Return the expected latency, in ms, of an attempt sent now."""
+        """Return the expected latency, in ms, of an attempt sent now.
+
+        Args:
+            now: the current time.
+            service_time: the fleet-wide latency for each request that an endpoint holds. It stands in for an
+                endpoint that has never responded, and is the value to which a slow endpoint recovers.
+        """
         # a ratio of two means, as a mean of ratios would be dominated by responses at low load
-        own_ms = self.latency_ewma / (1.0 + self.load_ewma) if self.latency_ewma else service_time
-        if own_ms > service_time:
-            own_ms = service_time + (own_ms - service_time) * exp(
+        per_request_ms = self.latency_ewma / (1.0 + self.load_ewma) if self.latency_ewma else service_time
+        if per_request_ms > service_time:
+            per_request_ms = service_time + (per_request_ms - service_time) * exp(
                 (self.latency_at - now) / LATENCY_RECOVERY_MS
             )
-        expected_ms = own_ms * (1.0 + self.load(now))
+        expected_ms = per_request_ms * (1.0 + self.load(now))
         if not self.in_flight and self.latency_ewma:
-            # otherwise reports of others' load alone could cause refusals while endpoints are idle
-            expected_ms = min(expected_ms, MAX_REPORT_FACTOR * own_ms * (1.0 + self.load_ewma))
+            # without this bound, reports of other routers' load alone could cause refusals while it is idle
+            expected_ms = min(expected_ms, MAX_REPORT_FACTOR * per_request_ms * (1.0 + self.load_ewma))
         return expected_ms / self.min_warm_share(now)
 
     def min_warm_share(self, now: float) -> float:
-        """Return the least share of its full capacity that it has now, by the warm-up rules."""
+        """Return the least share (0 to 1) of its capacity that the endpoint has now, by the warm-up rules."""
         if now >= self.warmup_end:
             return 1.0
         progress = max(0.0, (now - self.warmup_start) / max(1e-9, self.warmup_end - self.warmup_start))
--- a/rosepick/fleet/rollout_state.py
+++ b/rosepick/fleet/rollout_state.py
@@ -246,7 +246,11 @@
 
 
 def roll_back(actor: str, reason: str, timestamp_s: float) -> RegisterChange:
-    """Roll back the open rollout on behalf of an operator, even if it is paused."""
+    """Roll back the open rollout on behalf of an operator, even if it is paused.
+
+    A rollback that is in progress stays as it is, except that a pause of it ends. The change is rejected if
+    no rollout is open.
+    """
 
     def update(state: RolloutState) -> RolloutState:
         rollout = require_open(state)
--- a/rosepick/http/server_protocol.py
+++ b/rosepick/http/server_protocol.py
@@ -31,10 +31,10 @@
 )
 from .response_encoding import ExtraHeaders, encode_head
 
-MAX_BODY_BYTES = 36 * 1024 * 1024
+MAX_BODY_BYTES = 36 * 1024 * 1024  # maximum length of a request body
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer body is streamed
 BODY_TIMEOUT_MS = 600_000.0  # limits the time in which a streamed body is received
-MAX_HEAD_BYTES = 16 * 1024
+MAX_HEAD_BYTES = 16 * 1024  # maximum length of the request target and headers together
 MAX_PIPELINED_REQUESTS = 4  # limit of the requests that wait behind the current request
 
 # If one of these headers were repeated, the router and an upstream or a proxy might use different values.
@@ -81,7 +81,7 @@
         self.body_bytes = 0  # received bytes of the current body
         self._streaming_request: RequestContext | None = None
         self._completed_requests: list[CompletedUpload] = []
-        self._unframed_bytes = 0  # bytes received since the end of a head or message, or body data
+        self._unframed_bytes = 0  # bytes received since the last end of a head or message, or part of a body
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._inbox: deque[tuple[ParsedMessage, bool]] = deque()
         self._version = "1.1"  # HTTP version of the last request that was parsed
@@ -283,17 +283,21 @@
             raise BadRequestError(431, "headers too long")
 
     def on_headers_complete(self) -> None:
-        """Parser callback: the head is complete."""
+        """Check the headers that frame the body (parser callback).
+
+        Raises:
+            BadRequestError: the body is too long, or its coding or the expectation is not supported.
+        """
         self._in_head = False
         self._unframed_bytes = 0
         length = self._headers.get(b"content-length", b"0").strip()
         if length.isdigit() and int(length) > MAX_BODY_BYTES:
             raise BadRequestError(413, "body too long")
         if self._headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
-            raise BadRequestError(400, "a coding of the body that is not known here")
+            raise BadRequestError(400, "unsupported transfer-encoding: only chunked is supported")
         expect = self._headers.get(b"expect", b"100-continue").lower()
         if expect != b"100-continue":
-            raise BadRequestError(417, "an expectation that is not known here")
+            raise BadRequestError(417, "unsupported expectation: only 100-continue is supported")
         self.wants_continue = b"expect" in self._headers
 
     def is_in_head(self) -> bool:
@@ -301,7 +305,11 @@
         return self._in_head
 
     def on_body(self, part: bytes) -> None:
-        """Parser callback: a part of the body."""
+        """Buffer or stream a part of the body (parser callback).
+
+        Raises:
+            BadRequestError: the body is longer than the limit.
+        """
         if self.is_done:
             return
         self.body_bytes += len(part)
@@ -339,7 +347,7 @@
         self._inbox.append((message, self._parser.should_keep_alive()))
 
     def on_message_complete(self) -> None:
-        """Parser callback: the request is complete."""
+        """Queue the complete request, or end its streamed body (parser callback)."""
         assert self._parser is not None
         self.has_partial_request = False
         self.wants_continue = False
@@ -368,7 +376,7 @@
         if path in _READINESS_PATHS:
             return ReadinessProbe()
         if method not in (b"GET", b"PUT"):
-            raise BadRequestError(405, "only GET and PUT are known here")
+            raise BadRequestError(405, "unsupported method: only GET and PUT are supported")
         headers = self._headers
         names = self._get_names()
         cost = headers.get(b"req-cost")
--- a/rosepick/lab/drill/drain_harness.py
+++ b/rosepick/lab/drill/drain_harness.py
@@ -57,7 +57,7 @@
 # a connection that is closed within this time was closed at once, without a read; a longer one timed out
 UNREAD_CONNECTION_MAX_S = 0.5
 FORCED_DRAIN_WINDOW_S = 20.0  # after an immediate drain request, during which the budget does not apply
-REINSTATEMENT_DELAY_S = 6.0  # until a reinstated member is known to be in
+REINSTATEMENT_DELAY_S = 6.0  # until all agents count a reinstated member again
 REJOIN_DEADLINE_S = 35.0  # until all members are in, once faults and drains have ended
 HEARTBEAT_INTERVAL_S, HEARTBEAT_TIMEOUT_S = 0.8, 4.0
 # the routers' settings `warm_after` and `cold_from`: the length of a warm-up, and the share at its start
@@ -379,6 +379,12 @@
         self.loop.call_after(4_000.0, lambda: self._reinstate_member(name))
 
     def _reinstate_member(self, name: str) -> None:
+        """Reinstate a member; repeat the order until its outcome is known and it has not failed.
+
+        The history contains the order `REINSTATEMENT_DELAY_S` later, so that the checks count the member only
+        once all agents do.
+        """
+
         def on_outcome(outcome: OperationOutcome) -> None:
             if outcome.kind in (OutcomeKind.FAILED, OutcomeKind.UNKNOWN):
                 self._reinstate_member(name)
--- a/rosepick/lab/drill/drain_invariants.py
+++ b/rosepick/lab/drill/drain_invariants.py
@@ -153,6 +153,7 @@
             self._add_availability(event)
 
     def _add_order(self, order: OperatorOrderAccepted) -> None:
+        """Count an operator's order, and apply evictions ("off"), reinstatements ("on") and halts."""
         self.counts[f"orders {order.what}"] += 1
         match order.what:
             case "off":
--- a/rosepick/lab/drill/lease_benchmark.py
+++ b/rosepick/lab/drill/lease_benchmark.py
@@ -306,7 +306,14 @@
 def run_benchmarks(
     renewals: int, rounds: int = 300, count: int = 200, seconds: float = 15.0
 ) -> Iterator[str]:
-    """Run all benchmarks, and yield each result as a line once it is measured."""
+    """Run all benchmarks, and yield each result as a line once it is measured.
+
+    Args:
+        renewals: number of changes of a register before the size of the storage is measured.
+        rounds: number of measured acquisitions and renewals, and of writes to a lock file.
+        count: number of leases held at the same time.
+        seconds: how long these leases are held.
+    """
     yield measure_lock_file(rounds)
     for witnesses in (1, 3, 5):
         yield measure_lease_latency(witnesses, rounds)
--- a/rosepick/lab/drill/release_harness.py
+++ b/rosepick/lab/drill/release_harness.py
@@ -173,7 +173,7 @@
         if record != self.record:
             self.decisions += count_decisions(self.record, record)
             self.record = record
-            self.observed_events.append(self._to_event(record, read_started_at))
+            self.observed_events.append(self._release_event(record, read_started_at))
         is_command_running = self.release_command is not None and self.release_command.poll() is None
         if not self.issues_orders or is_command_running:
             if not self.issues_orders and not is_command_running:
@@ -244,7 +244,15 @@
         path.write_text(json.dumps(settings), "utf-8")
         return path
 
-    def _to_event(self, record: RolloutState, read_started_at: float) -> ReleaseDecided:
+    def _release_event(self, record: RolloutState, read_started_at: float) -> ReleaseDecided:
+        """Return the event that says which version the rollout state permits, and to which routers.
+
+        Settings do not count as a version: a rollout of settings permits the baseline to all routers.
+
+        Args:
+            record: the rollout state that was read.
+            read_started_at: start of the read, in seconds on the drill's clock.
+        """
         rollout, baseline = record.open_rollout, record.baseline.get(BUILD)
         baseline_version = "old" if baseline is None else self.version_by_digest[baseline.digest]
         routers = self._members_of_kind("router")
--- a/rosepick/lab/drill/simulated_leases.py
+++ b/rosepick/lab/drill/simulated_leases.py
@@ -20,10 +20,10 @@
 
 CLIENTS_START_AT_S = 0.1
 FIRST_FAULT_AT_S = 0.5  # start of the fault plan
-OLDER_STORAGE_TIME_S = 6.0  # extra time for a plan that restores an older storage
+OLDER_STORAGE_TIME_S = 6.0  # extra time for faults if the plan restores a replica's older storage
 QUIET_TTLS = 2.0  # time without faults before the end, in multiples of the lease's time to live
 QUIET_TIME_S = 3.0  # added to QUIET_TTLS
-TAKEOVER_MARGIN_S = 3.0
+TAKEOVER_MARGIN_S = 3.0  # added to the longest lease to get the deadline of a takeover after the last fault
 REPLACEMENT_INTERVAL_MS = 700.0  # between checks for replicas that lost their storage
 
 
@@ -31,6 +31,13 @@
     """The replicas, lease clients, operator and fault plan of a test."""
 
     def __init__(self, config: SimulationConfig, seed: int, faults: FaultPlan | None = None) -> None:
+        """Create the processes of a test, none of which has started.
+
+        Args:
+            config: the numbers of processes and tasks, the durations and the kinds of faults.
+            seed: the seed of all random choices; a test with the same arguments repeats exactly.
+            faults: the faults to inject; None draws a plan from the seed.
+        """
         super().__init__(config, seed)
         self.tasks = [f"t{number}" for number in range(config.tasks)]
         # the last replica is a spare that can replace another one
--- a/rosepick/lab/policies/membership.py
+++ b/rosepick/lab/policies/membership.py
@@ -11,8 +11,10 @@
 from ...decisions.api import Mode, Status, UpdateScope
 from .timers import DISCOVERY_TIMER
 
-MIN_DISCOVERY_RETRY_MS = 700.0  # first delay after a failed subscription; each further delay is doubled
-MAX_DISCOVERY_RETRY_MS = 6_000.0  # longest delay after a failed subscription
+# Delay after the first failed subscription; it doubles with each further failure. Each delay is multiplied by
+# a random factor from 0.5 to 1.5.
+MIN_DISCOVERY_RETRY_MS = 700.0
+MAX_DISCOVERY_RETRY_MS = 6_000.0  # longest delay, before the random factor
 
 
 @dataclass(slots=True, eq=False)
@@ -77,7 +79,7 @@
         return self.settings.mode is Mode.ASIDE and node.member.kind == self.settings.origin_kind
 
     def _on_failure(self, now: float) -> list[api.Action]:
-        """Keep the list and subscribe again, with exponential backoff and jitter."""
+        """Keep the list and schedule the next subscription, with exponential backoff and jitter."""
         if not self.settings.subscribe:
             return []
         self.is_subscribed = False
--- a/rosepick/net/admin_listener.py
+++ b/rosepick/net/admin_listener.py
@@ -14,7 +14,7 @@
 from .tcp_stream import TcpStream
 
 logger = logging.getLogger(__name__)
-MAX_CONNECTIONS = 12  # maximum number of open connections; a further one closes the oldest
+MAX_CONNECTIONS = 12  # maximum number of open connections; another one closes the oldest
 RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 4  # its connections, the listening socket, the urgent selector
 CONNECTION_TIMEOUT_MS = 5_000.0  # time for an operator to send a command and to read the reply
 DESCRIPTOR_LIMIT = 1024  # limit of the listener's own budget; `MAX_CONNECTIONS` limits the connections
@@ -31,6 +31,7 @@
         self.stream = TcpStream(listener.loop, listener.budget, sock, self._on_ready, urgent=True)
 
     def _on_ready(self, events: int) -> None:
+        """Write and read as the socket allows; a socket error closes the connection."""
         try:
             if events & WRITE:
                 self.stream.flush()
--- a/rosepick/net/connection_report.py
+++ b/rosepick/net/connection_report.py
@@ -13,7 +13,7 @@
 from ..logs import log_event
 from . import accept_queue
 
-# Log lines and their rate limits count as those of the listener.
+# The name of the listener's logger: the rate limits of log lines apply to both modules together.
 logger = logging.getLogger(f"{__package__}.listener")
 
 
@@ -99,6 +99,9 @@
     def log_queue_overflows(self, sockets: Iterable[tuple[str, socket.socket]]) -> None:
         """Log overflows of accept queues since the last call; affected clients wait a second or more.
 
+        The kernel counts overflows of all listening sockets of the machine together, so each of the router's
+        sockets is logged with its present queue length.
+
         Args:
             sockets: the names and listening sockets of this router; empty once they are closed.
         """
--- a/rosepick/net/graceful_shutdown.py
+++ b/rosepick/net/graceful_shutdown.py
@@ -51,7 +51,11 @@
         self._started_at = 0.0
 
     def begin(self) -> None:
-        """Start the shutdown."""
+        """Start the shutdown; the loop stops once it is complete.
+
+        Connections are accepted for at least `MIN_ACCEPT_AFTER_SIGTERM_MS`. A listening socket that was
+        inherited is closed at once.
+        """
         self._listener.is_shutting_down = True
         if self._listener.shares_inherited_socket:
             self._listener.close()  # the new process accepts the connections in its queue
--- a/rosepick/net/server.py
+++ b/rosepick/net/server.py
@@ -113,6 +113,7 @@
         return ObservedEngine(settings, seed, self.loop, self.capture.recorder)
 
     def _make_endpoint_watch(self) -> EndpointWatch:
+        """Return the watch of the endpoint list, which polls discovery once the engine enables it."""
         return EndpointWatch(
             self.loop,
             self.budget,
--- a/rosepick/net/upstream_pool.py
+++ b/rosepick/net/upstream_pool.py
@@ -188,6 +188,10 @@
     # ---------------------------------------------------------------------------------- connections
 
     def _take_idle(self, endpoint_id: int) -> UpstreamConnection | None:
+        """Remove and return the most recently used idle connection that can be reused; None without one.
+
+        Connections that the upstream has closed, or on which it sent unsolicited data, are closed.
+        """
         now = self.loop.now()
         if now > self.reuse_delay_until:
             self.reuse_delay_ms = 0.0
@@ -210,7 +214,7 @@
         """
         try:
             if not self.budget.ensure_available(DescriptorUse.UPSTREAM):
-                raise OSError(errno.EMFILE, "no descriptor for an upstream")
+                raise OSError(errno.EMFILE, "no file descriptor is left for a connection to an upstream")
             sock = dial(entry.address, self.close_oldest_idle)
         except OSError as error:
             if error.errno in OUT_OF_DESCRIPTORS_ERRNOS:
--- a/rosepick/settings/reader.py
+++ b/rosepick/settings/reader.py
@@ -90,7 +90,7 @@
         return value
 
     def text(self, key: str) -> str:
-        """Return a non-empty text; the key is mandatory."""
+        """Return a non-empty string; the key is mandatory."""
         value = self.data.get(key)
         if not isinstance(value, str) or not value:
             raise InvalidSettingError(f"setting {self.path_of(key)} is {value!r}, not a text")
