--- a/rosepick/consensus/reconfiguration.py
+++ b/rosepick/consensus/reconfiguration.py
@@ -58,7 +58,7 @@
     names = {member.name for member in members}
     storages = {member.storage_id for member in members}
     if len(names) < len(members) or len(storages) < len(members):
-        return "two replicas have the same name or the same storage"
+        return "a replica would vote twice"
     if not members or len(members) > max(messages.QUORUM_SIZES):
         return f"{len(members)} replicas; a quorum has 1 to {max(messages.QUORUM_SIZES)}"
     joining = set(members) - set(old_quorum.members)
