--- a/rosepick/lab/drill/drain_harness.py
+++ b/rosepick/lab/drill/drain_harness.py
@@ -379,6 +379,12 @@
         self.loop.call_after(4_000.0, lambda: self._reinstate_member(name))
 
     def _reinstate_member(self, name: str) -> None:
+        """Reinstate a member; repeat the order until its outcome is known and it has not failed.
+
+        The history contains the order `REINSTATEMENT_DELAY_S` later, so that the checks count the member only
+        once all agents do.
+        """
+
         def on_outcome(outcome: OperationOutcome) -> None:
             if outcome.kind in (OutcomeKind.FAILED, OutcomeKind.UNKNOWN):
                 self._reinstate_member(name)
