--- a/rosepick/cli/agent.py
+++ b/rosepick/cli/agent.py
@@ -217,7 +217,7 @@
     if program is None:
         return None, None
     artifacts = LocalArtifactStore(state_file, options.folder, program)
-    digests = {BUILD: artifacts.installed.digest} if program.build is not None else {}
+    digests = {BUILD: artifacts.installed_build.digest} if program.build is not None else {}
     digests |= {SETTINGS: ""} if program.config is not None else {}
     policy = DeployPolicy(1000.0 * release_settings.settle, 1000.0 * release_settings.probation)
     return artifacts, Deployer(options.name, state_file, artifacts, policy, digests)
--- a/rosepick/cli/lab_drills.py
+++ b/rosepick/cli/lab_drills.py
@@ -48,7 +48,7 @@
     if report is not None:
         report.mkdir(parents=True, exist_ok=True)
         (report / SUMMARY_NAME).write_bytes(summary.json())
-    raise typer.Exit(1 if summary.broken else 2 if summary.failed else 0)
+    raise typer.Exit(1 if summary.seeds_with_violations else 2 if summary.seeds_not_run else 0)
 
 
 def soak(
@@ -97,7 +97,7 @@
             seed=number,
             deadline_s=deadline,
             cpu_share=cpu_share,
-            replacements=() if calm else scale_plan.two_thirds_replaced(nodes),
+            replacements=() if calm else scale_plan.replace_two_thirds(nodes),
             kills=() if calm else (scale_plan.RouterKill(1.0, 1.5, max(1, routers // 2)),),
         )
         result = play_scale(plan)
@@ -164,7 +164,7 @@
     with require_extra("lab"):
         from ..lab.drill import release_benchmark
 
-        for line in release_benchmark.run_benchmark(identical, each, workers):
+        for line in release_benchmark.run_release_benchmark(identical, each, workers):
             print(line, flush=True)
 
 
@@ -198,7 +198,7 @@
         for result in mutation_tests.find_all_faults(faults, workers):
             missed += result.seed is None
             if result.seed:
-                outcome = f"seed {result.seed}: {result.claim}"
+                outcome = f"seed {result.seed}: {result.violation}"
             else:
                 outcome = f"NOT FOUND in {result.seeds} seeds"
             print(f"{result.planted.name}: {outcome} ({result.seconds:.0f} s)", flush=True)
--- a/rosepick/cli/lab_experiments.py
+++ b/rosepick/cli/lab_experiments.py
@@ -82,7 +82,7 @@
                     with out.open("ab") as file:
                         file.write(results.encode_result(result) + results.encode_result(cost))
                 console.print_run(result, cost)
-                all_good = all_good and result.good()
+                all_good = all_good and result.has_passed()
     raise typer.Exit(0 if all_good else 1)
 
 
@@ -107,7 +107,7 @@
                 for result in _play_grid(file, grid, workers, run_simulated):
                     output.write(results.encode_result(result))
                     output.flush()
-                    all_good = all_good and result.good()
+                    all_good = all_good and result.has_passed()
                     count += 1
         except KeyboardInterrupt:
             exit_with_error(f"interrupted; {count} runs are in {out}", EXIT_INTERRUPTED)
--- a/rosepick/cli/quorum_session.py
+++ b/rosepick/cli/quorum_session.py
@@ -68,13 +68,13 @@
     import random
 
     fleet, key = load_fleet_or_exit(path)  # first, as it reports a missing extra that the imports below need
-    from ..coordination.quorum_client import QuorumClient, tcp_connections
+    from ..coordination.quorum_client import QuorumClient, tcp_connection_factory
     from ..net.boot_clock import boottime_s
     from ..net.event_loop import EventLoop
 
     loop = EventLoop(boottime_s)
     rng = random.Random(secrets.randbits(CLIENT_ID_BITS))
-    return QuorumClient(loop, tcp_connections(loop, fleet.endpoints(), key), rng), fleet
+    return QuorumClient(loop, tcp_connection_factory(loop, fleet.endpoints(), key), rng), fleet
 
 
 def run_until(
--- a/rosepick/cli/release.py
+++ b/rosepick/cli/release.py
@@ -110,11 +110,11 @@
 
 
 def _read_artifact(path: Path, name: str) -> Artifact:
-    from ..coordination.artifact_fetch import digest_of
+    from ..coordination.artifact_fetch import compute_digest
     from ..fleet.rollout_state import Artifact
 
     try:
-        return Artifact(name or path.name, digest_of(path), str(path.absolute()))
+        return Artifact(name or path.name, compute_digest(path), str(path.absolute()))
     except OSError as error:
         exit_with_error(f"{path}: {error.strerror}", 2)
 
--- a/rosepick/consensus/proposer.py
+++ b/rosepick/consensus/proposer.py
@@ -125,7 +125,7 @@
         self._phase = ProposerPhase.READ if command.change is None else ProposerPhase.PREPARE
         self._request_id = 0  # id of all requests of the current phase
         self._votes: dict[str, Vote] = {}  # votes of the current phase, by replica
-        self._opponents: set[str] = set()  # replicas that refuse the current round
+        self._refusing_replicas: set[str] = set()  # replicas that refuse the current round
         self._accept_register = EMPTY_REGISTER
 
     # -- requests
@@ -156,7 +156,7 @@
     def _broadcast(self, make_request: Callable[[int], messages.QuorumRequest]) -> OutgoingRequests:
         self._request_id = self._next_request_id()
         self._votes.clear()
-        self._opponents.clear()
+        self._refusing_replicas.clear()
         self.is_preempted = False
         return [
             OutgoingRequest(member.name, make_request(self._request_id)) for member in self.quorum.members
@@ -225,8 +225,8 @@
         return []
 
     def _record_refusal(self, replica: str) -> None:
-        self._opponents.add(replica)
-        self.is_preempted = len(self.quorum.members) - len(self._opponents) < self.quorum.majority
+        self._refusing_replicas.add(replica)
+        self.is_preempted = len(self.quorum.members) - len(self._refusing_replicas) < self.quorum.majority
 
     def _finish_read(self) -> OutgoingRequests:
         """Finish if a majority has accepted one ballot; start a round if all have replied and none has.
--- a/rosepick/coordination/artifact_fetch.py
+++ b/rosepick/coordination/artifact_fetch.py
@@ -62,7 +62,7 @@
     scratch: str
 
 
-def digest_of(path: Path) -> str:
+def compute_digest(path: Path) -> str:
     """Return the digest of a file's content, or of all paths, executable bits and contents in a folder.
 
     Raises:
@@ -116,7 +116,7 @@
         FetchError: The artifact cannot be fetched, or it failed its check or trial.
     """
     try:
-        if not (target.exists() and digest_of(target) == digest):
+        if not (target.exists() and compute_digest(target) == digest):
             _copy_artifact(source, digest, target)
     except OSError as error:
         raise FetchError(EXIT_HOST_FAULT, f"{error.strerror}: {error.filename}") from None
@@ -146,7 +146,7 @@
             shutil.copytree(source, partial, symlinks=True, ignore=shutil.ignore_patterns(*SKIPPED_FOLDERS))
         else:
             shutil.copy2(source, partial)
-        actual_digest = digest_of(partial)
+        actual_digest = compute_digest(partial)
         if actual_digest != digest:
             raise FetchError(EXIT_HOST_FAULT, f"{source} has another digest: {actual_digest}")
         os.sync()
--- a/rosepick/coordination/artifact_store.py
+++ b/rosepick/coordination/artifact_store.py
@@ -23,7 +23,7 @@
     FETCH_TIMEOUT_S,
     FetchOptions,
     compose_config,
-    digest_of,
+    compute_digest,
     remove_path,
 )
 
@@ -81,18 +81,18 @@
         self._fetches: dict[str, RunningFetch] = {}
         self.reload_member: Callable[[], None] = lambda: None
         self.active_digests: Callable[[], dict[str, str]] = lambda: {}
-        self.installed = _installed_build(state_file, program.build)
+        self.installed_build = _installed_build(state_file, program.build)
 
     def path_of(self, digest: str) -> Path:
         """Return the path of a build or of a settings file."""
-        if digest and digest == self.installed.digest:
-            return Path(self.installed.path)
+        if digest and digest == self.installed_build.digest:
+            return Path(self.installed_build.path)
         return self.folder / digest
 
     def prepare(self, kind: str, artifact: Artifact) -> ArtifactStatus:
         """Return the status of an artifact; start to fetch it if it is missing."""
         digest = artifact.digest
-        if not digest or (digest == self.installed.digest and Path(self.installed.path).exists()):
+        if not digest or (digest == self.installed_build.digest and Path(self.installed_build.path).exists()):
             return ArtifactStatus(True)
         if self.path_of(digest).exists() and self.folder.joinpath(f"{digest}.ready").exists():
             self._fetches.pop(digest, None)
@@ -169,7 +169,7 @@
     """Return the installed build; its digest is computed once for each path and stored."""
     stored = state_file.get("first")
     if build is not None and (not isinstance(stored, list) or stored[1] != str(build)):
-        stored = [digest_of(build), str(build)]
+        stored = [compute_digest(build), str(build)]
         state_file.put(first=stored)
     return InstalledBuild(stored[0], stored[1]) if isinstance(stored, list) else InstalledBuild()
 
--- a/rosepick/coordination/quorum_client.py
+++ b/rosepick/coordination/quorum_client.py
@@ -64,7 +64,7 @@
         """Close the connection."""
 
 
-def tcp_connections(
+def tcp_connection_factory(
     loop: EventLoop, endpoints: Mapping[str, SocketAddress], key: bytes
 ) -> Callable[[QuorumReplyCallback], Mapping[str, ReplicaConnection]]:
     """Return a factory of TCP connections to the replicas at `endpoints`, authenticated with `key`."""
--- a/rosepick/decisions/decide.py
+++ b/rosepick/decisions/decide.py
@@ -38,7 +38,7 @@
 MAX_BAD_SHARE = 0.12  # share of keep-pool attempts that may fail or be slow before k' is cut
 CONTROL_INTERVAL_MS = 500.0  # time between control rounds; long enough for a few dozen responses
 
-HEAT_MEMORY_READS = 500.0  # a key's share of this router's reads decays over this number of reads
+READ_SHARE_DECAY_READS = 500.0  # a key's share of this router's reads decays over this number of reads
 READ_SHARE_PRIOR_READS = 30.0  # added to the reads counted, so that one early repeat does not make a key hot
 HOLDER_GROUP_SIZE = 8  # holders of a hot key that are taken from the order of one slot
 MAX_CANDIDATES = 4  # endpoints considered in one pool: more would scatter a key's copies
@@ -125,7 +125,7 @@
         self.reads += 1
         entry = self.top.get(key)
         last_id, reads, read_number = entry or self.tail.pop(key, (0, 0.0, self.reads))
-        reads *= exp((read_number - self.reads) / HEAT_MEMORY_READS)
+        reads *= exp((read_number - self.reads) / READ_SHARE_DECAY_READS)
         self.top[key] = last_id, reads + 1.0, self.reads
         self.top.move_to_end(key)
         if entry is None:
@@ -133,7 +133,7 @@
         return (
             entry is not None,
             last_id,
-            reads / (min(self.reads, HEAT_MEMORY_READS) + READ_SHARE_PRIOR_READS),
+            reads / (min(self.reads, READ_SHARE_DECAY_READS) + READ_SHARE_PRIOR_READS),
         )
 
     def _rebalance(self) -> None:
@@ -191,7 +191,7 @@
         self.pause_end = self.last_cut_at = float("-inf")
         self.mean_in_flight = self.mean_in_flight_at = 0.0  # decayed mean of fetches in flight
         # The EWMA is compared with its own minimum: single latencies vary widely even on a healthy origin.
-        self.best = self.latency_ewma = 0.0
+        self.best_latency_ms = self.latency_ewma = 0.0
         self.queue: list[tuple[float, int, int]] = []
 
     def configure(self, settings: api.RouterSettings) -> None:
@@ -219,7 +219,7 @@
     def is_slow(self) -> bool:
         """Return whether fetches take clearly longer than at best, so that overflow should spread."""
         return self.total >= MIN_FETCH_SAMPLES and self.latency_ewma > max(
-            SLOW_ORIGIN_RATIO * self.best, self.min_overload_ms
+            SLOW_ORIGIN_RATIO * self.best_latency_ms, self.min_overload_ms
         )
 
     def enqueue(self, value: float, ref: int) -> None:
@@ -244,11 +244,15 @@
         self.latency_ewma += (sample_ms - self.latency_ewma) * EWMA_WEIGHT if self.latency_ewma else sample_ms
         self.total += 1
         if self.total >= MIN_FETCH_SAMPLES:
-            self.best = (
-                min(self.best * BEST_LATENCY_GROWTH, self.latency_ewma) if self.best else self.latency_ewma
+            self.best_latency_ms = (
+                min(self.best_latency_ms * BEST_LATENCY_GROWTH, self.latency_ewma)
+                if self.best_latency_ms
+                else self.latency_ewma
             )
         # A quick fetch is no sign of overload, even while earlier timeouts keep the mean high.
-        max_ms = max(self.min_overload_ms, min(self.max_overload_ms, OVERLOAD_LATENCY_RATIO * self.best))
+        max_ms = max(
+            self.min_overload_ms, min(self.max_overload_ms, OVERLOAD_LATENCY_RATIO * self.best_latency_ms)
+        )
         if not succeeded or (self.total >= MIN_FETCH_SAMPLES and min(sample_ms, self.latency_ewma) > max_ms):
             self.reduce_limit(now)
         elif self.limit < 1.0:
@@ -358,7 +362,7 @@
 
     ref: int
     event: api.RequestArrived
-    klass: api.RequestClass
+    request_class: api.RequestClass
     limits: api.RouterLimits  # at its arrival; the class too is the one of its arrival
     begun_at: float
     deadline: float
@@ -381,13 +385,15 @@
     @property
     def objective_at(self) -> float:
         """Return the time (ms) from which it no longer has its full value."""
-        return min(self.deadline, self.begun_at + self.klass.objective_ms)
+        return min(self.deadline, self.begun_at + self.request_class.objective_ms)
 
     @property
     def repeatable(self) -> bool:
         """Return whether a retry may go to any endpoint, and a refusal is harmless though it may have run."""
-        klass = self.klass
-        return klass.effect is Effect.RETRYABLE or (klass.effect is Effect.DEDUP and klass.group is Group.ALL)
+        request_class = self.request_class
+        return request_class.effect is Effect.RETRYABLE or (
+            request_class.effect is Effect.DEDUP and request_class.group is Group.ALL
+        )
 
     def in_flight_count(self) -> int:
         """Return the number of attempts in flight."""
@@ -419,7 +425,7 @@
         self.retry_budget = MAX_RETRY_BUDGET
         self.probe_budget, self.probe_index = 0.0, 0
         # fleet-wide latency, in ms, for each request that an endpoint holds
-        self.service_time = INITIAL_LATENCY_MS
+        self.latency_per_request = INITIAL_LATENCY_MS
         # latency of cache responses, in ms, and its mean deviation
         self.mean_latency, self.deviation = 100.0, 50.0
         self._reconfigure(settings)
@@ -490,7 +496,7 @@
         classes = self.settings.classes
         if event.ref in self.pending:
             return
-        klass = classes[event.class_index] if event.class_index < len(classes) else classes[0]
+        request_class = classes[event.class_index] if event.class_index < len(classes) else classes[0]
         aside_write = event.is_write and self.settings.mode is Mode.ASIDE
         in_keep_pool, last_endpoint_id, read_share = False, 0, 0.0
         if not event.key:
@@ -502,7 +508,7 @@
         request = PendingRequest(
             ref=event.ref,
             event=event,
-            klass=klass,
+            request_class=request_class,
             limits=self.settings.limits,
             begun_at=self.now,
             deadline=self.now + max(0.0, event.time_left_ms),
@@ -511,7 +517,7 @@
             in_keep_pool=in_keep_pool,
             last_endpoint_id=last_endpoint_id,
             holders=self.pools.holder_count(read_share) if in_keep_pool else 1,
-            value=klass.worth * (self.settings.over_share_worth if is_over_share else 1.0),
+            value=request_class.worth * (self.settings.over_share_worth if is_over_share else 1.0),
         )
         self.pending[event.ref] = request
         self.actions.append(api.SetTimer(DEADLINE_TIMER | event.ref, request.deadline))
@@ -553,7 +559,7 @@
             self._finish(request, EndReason.NO_ENDPOINT)
             return
         limit = (
-            request.klass.objective_ms
+            request.request_class.objective_ms
             * self.shedder.wait_share
             * (0.6 + 0.4 * request.value / self.max_value)
         )
@@ -581,7 +587,7 @@
 
     def _choose_endpoint(self, request: PendingRequest) -> EndpointChoice:
         """Choose the cache node for a request's next attempt, if any; with its expected latency in ms."""
-        bound = WAIT_BOUND_SHARE * request.klass.objective_ms
+        bound = WAIT_BOUND_SHARE * request.request_class.objective_ms
         tried = {a.server.id for a in request.attempts}
         may_stay = request.in_keep_pool and self.pools.wide_share > 0 and request.holders == 1
         current = self.endpoints.states.get(request.last_endpoint_id) if may_stay else None
@@ -596,7 +602,7 @@
             # if most of the fleet is silent, this router's own network is the likelier cause: try all
             for server in self.pools.fleet_table.order_for(request.slot):
                 if server.status is Status.READY and server.id not in tried and self._has_cold_budget(server):
-                    return server, server.expected_latency(self.now, self.service_time)
+                    return server, server.expected_latency(self.now, self.latency_per_request)
         return best, best_wait
 
     def _search_pools(self, request: PendingRequest, tried: set[int], bound: float) -> EndpointChoice:
@@ -655,11 +661,13 @@
 
     def _expected_wait(self, request: PendingRequest, server: EndpointState) -> float:
         """Return the expected latency (ms); beyond the objective if the concurrency limit is reached."""
-        wait = server.expected_latency(self.now, self.service_time)
+        wait = server.expected_latency(self.now, self.latency_per_request)
         if server.in_flight >= server.concurrency_limit * (
             1.0 + VALUE_HEADROOM * request.value / self.max_value
         ):
-            wait = max(wait, request.klass.objective_ms * (1.0 + server.in_flight / server.concurrency_limit))
+            wait = max(
+                wait, request.request_class.objective_ms * (1.0 + server.in_flight / server.concurrency_limit)
+            )
         return wait
 
     def _is_usable(self, server: EndpointState, slot: int) -> bool:
@@ -743,17 +751,21 @@
             if request is None or request.is_final or not request.is_queued:
                 continue
             request.is_queued = False
-            if self.now + self.origin.best > request.objective_at:
+            if self.now + self.origin.best_latency_ms > request.objective_at:
                 self._finish(request, EndReason.QUEUE_TIMEOUT)
             else:
                 self._dispatch(request)
 
     def _is_late(self, ref: int) -> bool:
         request = self.pending.get(ref)
-        return request is None or request.is_final or self.now + self.origin.best > request.objective_at
+        return (
+            request is None
+            or request.is_final
+            or self.now + self.origin.best_latency_ms > request.objective_at
+        )
 
     def _useful_until(self, request: PendingRequest) -> float:
-        return request.deadline if request.klass.late_share > 0 else request.objective_at
+        return request.deadline if request.request_class.late_share > 0 else request.objective_at
 
     def _may_send(self, request: PendingRequest, server: EndpointState) -> bool:
         """Return whether an attempt may begin now; every path to a send checks this."""
@@ -777,13 +789,13 @@
             return None
         here, there = server.endpoint, first_unsafe.server.endpoint
         return RepeatFacts(
-            request.klass, first_unsafe.sent_at, here.zone == there.zone, here.cell == there.cell
+            request.request_class, first_unsafe.sent_at, here.zone == there.zone, here.cell == there.cell
         )
 
     def _repeat_until(self, request: PendingRequest) -> float:
         """Return the time (ms) until which a request that may have run may be sent again."""
         first_unsafe = request.first_unsafe_attempt()
-        return repeat_until(request.klass, None if first_unsafe is None else first_unsafe.sent_at)
+        return repeat_until(request.request_class, None if first_unsafe is None else first_unsafe.sent_at)
 
     def _send(self, request: PendingRequest, server: EndpointState) -> None:
         if not self._may_send(request, server):
@@ -792,7 +804,11 @@
             return
         at_origin = request.to_origin
         counts_as_fetch = not request.is_partial and (at_origin or self._may_fetch(request, server))
-        mean = self.origin.latency_ewma if at_origin else server.expected_latency(self.now, self.service_time)
+        mean = (
+            self.origin.latency_ewma
+            if at_origin
+            else server.expected_latency(self.now, self.latency_per_request)
+        )
         wait = self.timeouts.start(self.now, at_origin, mean or INITIAL_LATENCY_MS, request.event.cost_hint)
         begin_by = self._repeat_until(request)
         request.attempts.append(
@@ -812,7 +828,7 @@
         fetch_ms = 3.0 * self.origin.latency_ewma if request.to_origin else 0.0
         wait = max(MIN_OVERDUE_MS, self.mean_latency + OVERDUE_DEVIATIONS * self.deviation, fetch_ms)
         self._schedule_check(
-            request, self.now + min(wait, max(MIN_OVERDUE_MS, 0.6 * request.klass.objective_ms))
+            request, self.now + min(wait, max(MIN_OVERDUE_MS, 0.6 * request.request_class.objective_ms))
         )
 
     def _schedule_check(self, request: PendingRequest, overdue_at: float) -> None:
@@ -833,7 +849,7 @@
             and self.now < request.deadline
             and reason is not EndReason.INVALID
         ):
-            retry_after_ms = min(self.settings.limits.max_retry_after_ms, request.klass.objective_ms)
+            retry_after_ms = min(self.settings.limits.max_retry_after_ms, request.request_class.objective_ms)
             self.actions.append(api.Refuse(request.ref, retry_after_ms, reason))
         else:
             self.actions.append(api.Fail(request.ref, reason))
@@ -896,7 +912,7 @@
         self._record_response(request, attempt, event)
         if event.closes_request or event.result is Result.TIMEOUT:
             self.shedder.record_loss(
-                1.0 - request.klass.late_share if self.now > request.objective_at else 0.0
+                1.0 - request.request_class.late_share if self.now > request.objective_at else 0.0
             )
         if event.closes_request:
             self._close(request)
@@ -970,7 +986,8 @@
             self.popularity.record_endpoint(request.event.key, 0)
         if not missed and result in (Result.OK, Result.TIMEOUT, Result.BUSY):
             is_slow = (
-                result is not Result.OK or event.latency_ms > SLOW_RESPONSE_SHARE * request.klass.objective_ms
+                result is not Result.OK
+                or event.latency_ms > SLOW_RESPONSE_SHARE * request.request_class.objective_ms
             )
             server.adjust_concurrency_limit(now, event.latency_ms, is_slow)
             # not in read-through mode, where fetches slow responses, nor without a liveness signal
@@ -978,16 +995,18 @@
                 self.shedder.adjust_limit(now, event.latency_ms, is_slow)
         if result is Result.OK and not missed:
             server.record_latency(now, event.latency_ms, attempt.load_at_send)
-            self.service_time += (event.latency_ms / (1.0 + attempt.load_at_send) - self.service_time) * 0.02
+            self.latency_per_request += (
+                event.latency_ms / (1.0 + attempt.load_at_send) - self.latency_per_request
+            ) * 0.02
             self.deviation += (abs(event.latency_ms - self.mean_latency) - self.deviation) * 0.05
             self.mean_latency += (event.latency_ms - self.mean_latency) * 0.05
         elif result is Result.BUSY:
-            server.record_latency(now, request.klass.objective_ms, attempt.load_at_send)
+            server.record_latency(now, request.request_class.objective_ms, attempt.load_at_send)
         if request.in_keep_pool and result not in (*NO_HEALTH_SIGNAL, Result.INVALID):
             bad = (
                 is_silent
                 or result in (Result.ERROR, Result.BUSY)
-                or event.latency_ms > request.klass.objective_ms
+                or event.latency_ms > request.request_class.objective_ms
             )
             # A keep-pool miss is bad only while the origin is short. While nodes are short, counting it would
             # cut k' to its minimum.
@@ -1089,12 +1108,12 @@
             and (attempt.to_origin or server.last_response_at > attempt.sent_at)
         )
         if is_responsive_fetch and waited > max(
-            LATE_FETCH_SHARE * request.klass.objective_ms, 3.0 * self.origin.latency_ewma
+            LATE_FETCH_SHARE * request.request_class.objective_ms, 3.0 * self.origin.latency_ewma
         ):
             self.origin.reduce_limit(self.now)  # before the fetch fails
         if not attempt.to_origin:
             server.record_latency(self.now, waited, attempt.load_at_send)
-            if waited > SLOW_RESPONSE_SHARE * request.klass.objective_ms:
+            if waited > SLOW_RESPONSE_SHARE * request.request_class.objective_ms:
                 server.adjust_concurrency_limit(self.now, waited, True)
         if attempt.to_origin or server.last_response_at > attempt.sent_at:
             self._schedule_overdue(request)
@@ -1107,7 +1126,7 @@
             self._schedule_check(request, inf)  # no further check: its endpoint is ejected already
         elif limits.allow_hedging:
             other, wait = self._choose_endpoint(request)
-            if other is not None and wait < request.klass.objective_ms:
+            if other is not None and wait < request.request_class.objective_ms:
                 self.retry_budget -= 1.0
                 self._send(request, other)
         elif limits.allow_cancel:
--- a/rosepick/decisions/endpoint_pools.py
+++ b/rosepick/decisions/endpoint_pools.py
@@ -14,7 +14,7 @@
 MIN_SAMPLES = 40  # responses needed before a control loop acts; a router may see few a second
 INITIAL_KEEP_SHARE = 0.3  # keep pool's share of the home endpoints before this router's reads are known
 KEEP_PRIOR_READS = 8.0  # the initial share counts as much as this number of reads
-KEEP_MEMORY_READS = 1_000.0  # the share is a mean over about this number of reads
+MAX_KEEP_SHARE_READS = 1_000.0  # the share is a mean over about this number of reads
 HOT_KEY_SHARE = 0.25  # of one home endpoint's even share of the reads: a key with more gets further holders
 WIDE_SHARE_DECAY = 0.015  # decrease of the wide share in a calm control round: moving keys back costs fetches
 SHORTAGE_SHARE = 0.3  # a shortage begins when more than this share of the reads is short of capacity
@@ -111,7 +111,7 @@
     def record_read(self, in_keep_pool: bool) -> None:
         """Record one read; the keep pool's share of the endpoints follows its share of the reads."""
         # A fixed share would overload the overflow pool where routers see too few reads to find popular keys.
-        self.keep_reads = min(KEEP_MEMORY_READS, self.keep_reads + 1.0)
+        self.keep_reads = min(MAX_KEEP_SHARE_READS, self.keep_reads + 1.0)
         self.keep_share += (in_keep_pool - self.keep_share) / self.keep_reads
 
     def keep_pool_size(self) -> int:
--- a/rosepick/decisions/endpoint_state.py
+++ b/rosepick/decisions/endpoint_state.py
@@ -80,12 +80,12 @@
             self.concurrency_limit = max(MIN_CONCURRENCY, self.concurrency_limit * CONCURRENCY_CUT_FACTOR)
             self.last_cut_at = now
 
-    def expected_latency(self, now: float, service_time: float) -> float:
+    def expected_latency(self, now: float, latency_per_request: float) -> float:
         """Return the expected latency, in ms, of an attempt sent now."""
         # a ratio of two means, as a mean of ratios would be dominated by responses at low load
-        own_ms = self.latency_ewma / (1.0 + self.load_ewma) if self.latency_ewma else service_time
-        if own_ms > service_time:
-            own_ms = service_time + (own_ms - service_time) * exp(
+        own_ms = self.latency_ewma / (1.0 + self.load_ewma) if self.latency_ewma else latency_per_request
+        if own_ms > latency_per_request:
+            own_ms = latency_per_request + (own_ms - latency_per_request) * exp(
                 (self.latency_at - now) / LATENCY_RECOVERY_MS
             )
         expected_ms = own_ms * (1.0 + self.load(now))
--- a/rosepick/decisions/permissions.py
+++ b/rosepick/decisions/permissions.py
@@ -17,7 +17,7 @@
 
 # The longest expected delay between reading the clock and writing. Whatever must end in time ends this much
 # earlier.
-MAX_HOLD_UP_MS = 150.0
+MAX_WRITE_DELAY_MS = 150.0
 REPEAT_WINDOW_MARGIN = 0.1  # least share of a repeat window that is left for the network
 
 # The longest time that a request may have waited before it was read, as a share of the time that its client
@@ -106,7 +106,7 @@
 class CloseFacts:
     """The facts for closing a client's connection."""
 
-    at_own_will: bool  # not because the client has left or stalled, or because its answer cannot be completed
+    is_router_initiated: bool  # false if the client left or stalled, or its answer cannot be completed
     owes_answer: bool
     expects_request: bool  # new or recently used, so that a request may be on its way
 
@@ -160,7 +160,7 @@
     if request_class.effect is Effect.FRAGILE:
         return -inf
     window_ms = request_class.repeat_window_ms
-    return first_unsafe_sent_at + window_ms - max(REPEAT_WINDOW_MARGIN * window_ms, MAX_HOLD_UP_MS)
+    return first_unsafe_sent_at + window_ms - max(REPEAT_WINDOW_MARGIN * window_ms, MAX_WRITE_DELAY_MS)
 
 
 def check_write(facts: WriteFacts) -> Denial | None:
@@ -187,7 +187,7 @@
 
 def check_close(facts: CloseFacts) -> Denial | None:
     """Return why a client's connection may not be closed now; None if it may."""
-    if not facts.at_own_will:
+    if not facts.is_router_initiated:
         return None
     if facts.owes_answer:
         return Denial.ANSWER_OWED
--- a/rosepick/fleet/failure_detector.py
+++ b/rosepick/fleet/failure_detector.py
@@ -73,7 +73,7 @@
     high_refusal_share: float = 0.02
 
 
-class StoreCapacityEstimator:
+class OriginCapacityEstimator:
     """Estimates how many cache nodes may be out without overloading the origin.
 
     It compares the misses that one more absent cache node would cause with the miss rate that the origin
@@ -130,7 +130,7 @@
         self._started_at = now
         self._reports: dict[str, tuple[HealthReport, float]] = {}  # last report, and when it changed
         self._live_members: set[str] = set()  # members whose report has changed since this detector started
-        self._capacity = StoreCapacityEstimator(policy)
+        self._capacity = OriginCapacityEstimator(policy)
 
     def add_report(self, name: str, report: HealthReport | None, now: float) -> None:
         """Add the current report of a member; None if it has none."""
--- a/rosepick/lab/drill/drain_benchmark.py
+++ b/rosepick/lab/drill/drain_benchmark.py
@@ -12,7 +12,7 @@
 
 from ...coordination.agent_driver import AgentDriver
 from ...coordination.agent_driver_config import AgentDriverConfig
-from ...coordination.quorum_client import QuorumClient, tcp_connections
+from ...coordination.quorum_client import QuorumClient, tcp_connection_factory
 from ...fleet import failure_detector, fleet_state
 from ...fleet.agent import Agent, AgentPolicy, MemberAction, MemberStatus
 from ...fleet.disruption_budget import DisruptionBudget, Limit
@@ -60,7 +60,9 @@
         traffic_counters = [TrafficCounter() for _ in range(CLIENT_COUNT)]
         clients = [
             QuorumClient(
-                loop, traffic.wrap_connections(tcp_connections(loop, endpoints, b"")), random.Random(number)
+                loop,
+                traffic.wrap_connections(tcp_connection_factory(loop, endpoints, b"")),
+                random.Random(number),
             )
             for number, traffic in enumerate(traffic_counters)
         ]
--- a/rosepick/lab/drill/drain_harness.py
+++ b/rosepick/lab/drill/drain_harness.py
@@ -58,7 +58,7 @@
 UNREAD_CONNECTION_MAX_S = 0.5
 FORCED_DRAIN_WINDOW_S = 20.0  # after an immediate drain request, during which the budget does not apply
 REINSTATEMENT_DELAY_S = 6.0  # until a reinstated member is known to be in
-REJOIN_DEADLINE_S = 35.0  # until all members are in, once faults and drains have ended
+REJOIN_TIMEOUT_S = 35.0  # until all members are in, once faults and drains have ended
 HEARTBEAT_INTERVAL_S, HEARTBEAT_TIMEOUT_S = 0.8, 4.0
 # the routers' settings `warm_after` and `cold_from`: the length of a warm-up, and the share at its start
 WARM_UP_S, COLD_START_SHARE = (
@@ -278,7 +278,7 @@
             self._stop_faults()
             self.run_for(4.0)
             self._cancel_all_drains()
-            all_rejoined = self.run_until(self._are_all_members_in, REJOIN_DEADLINE_S)
+            all_rejoined = self.run_until(self._are_all_members_in, REJOIN_TIMEOUT_S)
             self.run_for(1.0)
             final_state = self._read_fleet_state()
         finally:
@@ -307,7 +307,7 @@
             report.violations.append(
                 Violation(
                     "ends",
-                    f"not all members are in {REJOIN_DEADLINE_S:.0f} s after the last fault: "
+                    f"not all members are in {REJOIN_TIMEOUT_S:.0f} s after the last fault: "
                     f"{_describe_missing_members(final_state)}",
                 )
             )
--- a/rosepick/lab/drill/harness.py
+++ b/rosepick/lab/drill/harness.py
@@ -177,7 +177,7 @@
 
     def _must_skip(self, fault: Fault) -> bool:
         clients_and_tasks = {*self.workers, *self.runners, *self.tasks}
-        if self.storage_faults.replica is not None and not set(fault.target) <= clients_and_tasks:
+        if self.storage_faults.restoring_replica is not None and not set(fault.target) <= clients_and_tasks:
             return True
         # a change of the quorum requires that a majority of its members keeps its storages
         return fault.kind in QUORUM_CHANGING_FAULTS and self.quorum_operator.is_changing_quorum()
--- a/rosepick/lab/drill/lease_benchmark.py
+++ b/rosepick/lab/drill/lease_benchmark.py
@@ -28,7 +28,7 @@
     QuorumClient,
     QuorumReplyCallback,
     ReplicaConnection,
-    tcp_connections,
+    tcp_connection_factory,
 )
 from ...leases import lease_record
 from ...leases.lease_client import LeaseConfig, LeaseState
@@ -65,7 +65,7 @@
             for name in endpoints
         }
         loop = EventLoop(boottime_s)
-        client = QuorumClient(loop, tcp_connections(loop, endpoints, b""), random.Random(1))
+        client = QuorumClient(loop, tcp_connection_factory(loop, endpoints, b""), random.Random(1))
         try:
             for process in processes.values():
                 process.start()
@@ -222,7 +222,7 @@
             f"w{n}": (host, forwarder.endpoints.listen_port) for n, forwarder in enumerate(forwarders)
         }
         for number in range(rounds):
-            cut_off_client = QuorumClient(loop, tcp_connections(loop, endpoints, b""), rng)
+            cut_off_client = QuorumClient(loop, tcp_connection_factory(loop, endpoints, b""), rng)
             first = LeaseHolder(cut_off_client, f"cut {number}", "first", LeaseConfig(ttl))
             _run_until(loop, first.may_act)
             second = LeaseHolder(client, f"cut {number}", "second", LeaseConfig(ttl))
@@ -260,7 +260,7 @@
         traffic, host = TrafficCounter(), unique_loopback_address()
         endpoints = {name: (host, FIRST_PORT + n) for n, name in enumerate(processes)}
         client = QuorumClient(
-            loop, traffic.wrap_connections(tcp_connections(loop, endpoints, b"")), random.Random(3)
+            loop, traffic.wrap_connections(tcp_connection_factory(loop, endpoints, b"")), random.Random(3)
         )
         holders = [LeaseHolder(client, f"task {n}", f"holder {n}", LeaseConfig(ttl)) for n in range(count)]
         _run_until(
--- a/rosepick/lab/drill/model_checker.py
+++ b/rosepick/lab/drill/model_checker.py
@@ -113,7 +113,7 @@
     def detach(self, next_request_id: Callable[[], int]) -> None:
         """Copy all mutable state that this proposer shares with its original."""
         self._votes = dict(self._votes)
-        self._opponents = set(self._opponents)
+        self._refusing_replicas = set(self._refusing_replicas)
         self._ballots = copy.copy(self._ballots)
         self._next_request_id = next_request_id
 
@@ -123,7 +123,7 @@
 
     def vote_key(self, acceptor: str) -> tuple[str, bool]:
         """Return the proposer's knowledge of an acceptor as a key."""
-        return repr(self._votes.get(acceptor)), acceptor in self._opponents
+        return repr(self._votes.get(acceptor)), acceptor in self._refusing_replicas
 
     def state_key(self) -> tuple[object, ...]:
         """Return the proposer's state without its votes as a key."""
--- a/rosepick/lab/drill/mutations.py
+++ b/rosepick/lab/drill/mutations.py
@@ -67,7 +67,7 @@
     planted: PlantedFault
     seeds: int  # number of seeds that were run
     seed: int | None
-    claim: str
+    violation: str
     seconds: float
 
 
--- a/rosepick/lab/drill/process_cluster.py
+++ b/rosepick/lab/drill/process_cluster.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ...coordination.quorum_client import tcp_connections
+from ...coordination.quorum_client import tcp_connection_factory
 from ...net.event_loop import EventLoop
 from ...net.resource_budget import ResourceBudget
 from ..log_terms import line_has_event
@@ -44,7 +44,7 @@
         self.events: list[AnyEvent] = []
         settings = drill.processes
         self.replicas = [f"w{number}" for number in range(1, settings.witnesses + 2)]
-        self.spare = self.replicas[-1]  # runs without being a member of the quorum
+        self.spare_replica = self.replicas[-1]  # runs without being a member of the quorum
         self.workers = [f"c{number}" for number in range(settings.workers)]
         self.runners = [f"r{number}" for number in range(settings.runners)]
         self.tasks = [f"t{number}" for number in range(settings.tasks)]
@@ -101,7 +101,7 @@
         ports = {
             replica: self.ports[replica]
             for replica in self.replicas
-            if name != "operator" or replica != self.spare
+            if name != "operator" or replica != self.spare_replica
         }
         ports |= {
             replica: link.endpoints.listen_port
@@ -125,7 +125,7 @@
     def create_client(self, name: str, loop: EventLoop, rng: random.Random) -> InstrumentedQuorumClient:
         """Create a client of the quorum that connects to the replicas directly, without link faults."""
         endpoints = {replica: (self.host, port) for replica, port in self.ports.items()}
-        connections = tcp_connections(loop, endpoints, b"")
+        connections = tcp_connection_factory(loop, endpoints, b"")
         return InstrumentedQuorumClient(name, self.events.append, drill_clock, loop, connections, rng)
 
     def run_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
--- a/rosepick/lab/drill/quorum_operator.py
+++ b/rosepick/lab/drill/quorum_operator.py
@@ -54,7 +54,7 @@
 
     def is_changing_quorum(self) -> bool:
         """Return whether a command runs, a replica has yet to join or a member has lost its storage."""
-        members = [name for name in self._cluster.replicas if name != self._cluster.spare]
+        members = [name for name in self._cluster.replicas if name != self._cluster.spare_replica]
         return (
             self._is_busy() or self._joining_replica is not None or any(map(self._has_new_storage, members))
         )
@@ -62,7 +62,9 @@
     def replace_lost_replicas(self) -> None:
         """Replace members that have new storages, one at a time, and schedule the next check."""
         cluster = self._cluster
-        waiting = [name for name in cluster.replicas if name != cluster.spare and self._has_new_storage(name)]
+        waiting = [
+            name for name in cluster.replicas if name != cluster.spare_replica and self._has_new_storage(name)
+        ]
         if self._joining_replica is not None:
             waiting = [self._joining_replica]
             if self._command is not None and self._command.poll() == 0 and self._is_joining_command:
@@ -102,7 +104,7 @@
         """Remove a running replica from the quorum, and let the spare one join instead."""
         cluster = self._cluster
         removed = fault.target[0]
-        if removed == cluster.spare:
+        if removed == cluster.spare_replica:
             return
         command = cluster.start_operator_command("witness", "remove", removed)
         self._command = command
@@ -112,8 +114,8 @@
                 cluster.loop.call_after(COMMAND_POLL_INTERVAL_MS, lambda: await_removal(polls_left - 1))
             elif command.returncode == 0:
                 cluster.counts["swaps"] += 1
-                self._joining_replica = cluster.spare
-                cluster.spare = removed
+                self._joining_replica = cluster.spare_replica
+                cluster.spare_replica = removed
 
         await_removal()
 
--- a/rosepick/lab/drill/release_benchmark.py
+++ b/rosepick/lab/drill/release_benchmark.py
@@ -297,7 +297,7 @@
     return run_release(*task)
 
 
-def run_benchmark(identical: int, each: int, workers: int) -> Iterator[str]:
+def run_release_benchmark(identical: int, each: int, workers: int) -> Iterator[str]:
     """Measure false alarms and the detection of regressions, and yield lines of results.
 
     Args:
--- a/rosepick/lab/drill/release_harness.py
+++ b/rosepick/lab/drill/release_harness.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from ...consensus.proposer import OperationOutcome, OutcomeKind
-from ...coordination.artifact_fetch import digest_of
+from ...coordination.artifact_fetch import compute_digest
 from ...fleet import fleet_state, rollout_state
 from ...fleet.disruption_budget import DisruptionBudget, Limit
 from ...fleet.rollout_state import BUILD, SETTINGS, RolloutPhase, RolloutState
@@ -32,8 +32,8 @@
     GOOD_VERSION,
     WAVES_TO_DETECT,
     count_decisions,
-    fault_kind_of,
     max_members_exposed,
+    parse_fault_kind,
 )
 from .version_fault import VersionFault
 
@@ -109,7 +109,7 @@
 
     def _build_topology(self) -> None:
         initial_build = versions.write_build(self.builds / "old", GOOD_VERSION, "old")
-        self.version_by_digest[digest_of(initial_build)] = "old"
+        self.version_by_digest[compute_digest(initial_build)] = "old"
         super()._build_topology()
         with (self.folder / "all.toml").open("a", encoding="utf-8") as file:
             file.write(self._drains_settings())
@@ -164,12 +164,12 @@
 
         def on_outcome(outcome: OperationOutcome) -> None:
             if outcome.kind is OutcomeKind.UNCHANGED:
-                self._on_release_record(rollout_state.decode_rollout_state(outcome.register), read_started_at)
+                self._on_rollout_record(rollout_state.decode_rollout_state(outcome.register), read_started_at)
             self.loop.call_after(300.0, self._issue_next_order)
 
         self.operator_client.execute(rollout_state.rollout_state_key(GROUP), None, on_outcome, 1_500.0)
 
-    def _on_release_record(self, record: RolloutState, read_started_at: float) -> None:
+    def _on_rollout_record(self, record: RolloutState, read_started_at: float) -> None:
         if record != self.record:
             self.decisions += count_decisions(self.record, record)
             self.record = record
@@ -177,12 +177,12 @@
         is_command_running = self.release_command is not None and self.release_command.poll() is None
         if not self.issues_orders or is_command_running:
             if not self.issues_orders and not is_command_running:
-                self._finish_release(record)
+                self._finish_rollout(record)
             return
         rng = self.order_rng
         if record.open_rollout is None:
             if rng.random() < 0.5:
-                self._start_release(record)
+                self._start_rollout(record)
         elif record.open_rollout.pause is not None:
             if rng.random() < 0.3:
                 self._resolve_hold(record)
@@ -214,7 +214,7 @@
         cancellation = fleet_state.cancel_drain([name], "crew", now, requested_by="crew")
         self.loop.call_after(5_000.0, partial(self._send_order, "in", cancellation, (name,)))
 
-    def _start_release(self, record: RolloutState) -> None:
+    def _start_rollout(self, record: RolloutState) -> None:
         self.release_count += 1
         kind = self.order_rng.choice(RELEASE_KINDS)
         arguments = ["release", "start", "--why", "drill", "--from", str(self.builds / "old")]
@@ -223,7 +223,7 @@
         else:
             name = f"{kind}-{self.release_count}"
             path = versions.write_build(self.builds / name, kind, name)
-            self.version_by_digest[digest_of(path)] = name
+            self.version_by_digest[compute_digest(path)] = name
             if kind in WAVES_TO_DETECT:
                 self.max_members_by_bad_version[name] = max_members_exposed(kind, self._router_count())
             if BUILD in record.baseline:
@@ -280,7 +280,7 @@
 
     # -- the end of the run
 
-    def _finish_release(self, record: RolloutState) -> None:
+    def _finish_rollout(self, record: RolloutState) -> None:
         if record.open_rollout is not None and record.open_rollout.pause is not None:
             self._resolve_hold(record)
 
@@ -315,7 +315,7 @@
             if isinstance(start, VersionStarted) and start.process == event.process
         ]
         version = next((start.version for start in reversed(started_versions) if start.at <= event.at), "old")
-        if not event.up and fault_kind_of(version) == VersionFault.EXITS_SOON:
+        if not event.up and parse_fault_kind(version) == VersionFault.EXITS_SOON:
             host, port = self.listen_addresses[event.process]
             kill_times = self.kill_times_by_address.setdefault(f"{host}:{port}", [])
             kill_times += [event.at - 0.2 * n for n in range(3)]
--- a/rosepick/lab/drill/release_versions.py
+++ b/rosepick/lab/drill/release_versions.py
@@ -22,19 +22,19 @@
 }
 
 
-def artifact_named(version: str) -> Artifact:
+def make_artifact(version: str) -> Artifact:
     """Return the artifact of a version, whose name serves as the digest, too."""
     return Artifact(version, version, f"/builds/{version}")
 
 
-def fault_kind_of(version: str) -> str:
+def parse_fault_kind(version: str) -> str:
     """Return the kind of a version's fault: a value of `VersionFault`, or another name if it has no fault."""
     return version.partition("-")[0]
 
 
 def has_fault(version: str) -> bool:
     """Return whether a version has a fault, so that a rollout of it must be rolled back."""
-    return fault_kind_of(version) in WAVES_TO_DETECT
+    return parse_fault_kind(version) in WAVES_TO_DETECT
 
 
 def max_members_exposed(fault_kind: str, router_count: int) -> int:
@@ -71,9 +71,9 @@
         )
         last_entry = after.history[-1] if after.history else None
         if rollback_began and last_entry is not None and last_entry.actor != "operator":
-            counts[f"judged worse: {fault_kind_of(new_rollout.new.name)}"] += 1
+            counts[f"judged worse: {parse_fault_kind(new_rollout.new.name)}"] += 1
         return counts
     is_deployed = after.baseline.get(BUILD) == old_rollout.new
     outcome = "brought through" if is_deployed else "closed as taken back"
-    counts[f"{outcome}: {fault_kind_of(old_rollout.new.name)}"] += 1
+    counts[f"{outcome}: {parse_fault_kind(old_rollout.new.name)}"] += 1
     return counts
--- a/rosepick/lab/drill/runner.py
+++ b/rosepick/lab/drill/runner.py
@@ -138,25 +138,28 @@
 
 @dataclass(slots=True)
 class DrillSummary:
-    """Adds up the results of all seeds; `broken` has the seeds with violations, `failed` those not run."""
+    """Adds up the results of all seeds."""
 
     seeds: int = 0
-    broken: list[int] = field(default_factory=list)
-    failed: list[int] = field(default_factory=list)
+    seeds_with_violations: list[int] = field(default_factory=list)
+    seeds_not_run: list[int] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
 
     def add(self, result: SeedResult) -> None:
         """Add the result of a seed."""
         self.seeds += 1
         if result.violations:
-            self.broken.append(result.seed)
+            self.seeds_with_violations.append(result.seed)
         if result.failure_reason:
-            self.failed.append(result.seed)
+            self.seeds_not_run.append(result.seed)
         self.counts.update(result.counts)
 
     def lines(self) -> list[str]:
         """Format the summary as lines of text."""
-        lines = [f"{self.seeds} seeds, {len(self.broken)} with a broken claim, {len(self.failed)} not played"]
+        lines = [
+            f"{self.seeds} seeds, {len(self.seeds_with_violations)} with a broken claim, "
+            f"{len(self.seeds_not_run)} not played"
+        ]
         return lines + [f"  {name:28} {count}" for name, count in sorted(self.counts.items())]
 
     def json(self) -> bytes:
@@ -165,8 +168,8 @@
             msgspec.json.encode(
                 {
                     "seeds": self.seeds,
-                    "broken": self.broken,
-                    "failed": self.failed,
+                    "broken": self.seeds_with_violations,
+                    "failed": self.seeds_not_run,
                     "counts": dict(self.counts),
                 }
             )
--- a/rosepick/lab/drill/simulated_drains.py
+++ b/rosepick/lab/drill/simulated_drains.py
@@ -41,7 +41,7 @@
 FAILURE_DETECTOR_POLICY = FailureDetectorPolicy(report_timeout_ms=5_000.0)
 HEARTBEAT_INTERVAL_MS = 1_200.0
 ORDER_INTERVAL_S = 1.3  # mean time between orders
-REJOIN_DEADLINE_S = 30.0  # from the last fault until all members are in service
+REJOIN_TIMEOUT_S = 30.0  # from the last fault until all members are in service
 OPERATION_TIMEOUT_MS = 3_000.0
 FORCED_DRAIN_WINDOW_S = 20.0  # time after an immediate drain in which its member may exceed the budget
 EVICTION_TIME_MS = 4_000.0  # until an evicted member is reinstated
@@ -97,7 +97,7 @@
     """A cluster with agents instead of lease clients, and an operator that issues random orders."""
 
     budget = BUDGET
-    rejoin_deadline_s = REJOIN_DEADLINE_S
+    rejoin_timeout_s = REJOIN_TIMEOUT_S
 
     def __init__(self, config: SimulationConfig, seed: int) -> None:
         super().__init__(config, seed)
@@ -262,7 +262,7 @@
         self._schedule_faults(FIRST_FAULT_AT_S)
         faults_stop_at = FIRST_FAULT_AT_S + self.plan.ends_at
         self.schedule(faults_stop_at, None, self._stop_faults)
-        self.run_until(faults_stop_at + self.rejoin_deadline_s)
+        self.run_until(faults_stop_at + self.rejoin_timeout_s)
         self._record_open_operations()
         report = invariants.check_invariants(self.events)
         violations, counts = drain_invariants.check_invariants(self.events, self._bounds())
--- a/rosepick/lab/drill/simulated_releases.py
+++ b/rosepick/lab/drill/simulated_releases.py
@@ -27,11 +27,11 @@
     GOOD_VERSION,
     INITIAL_VERSION,
     WAVES_TO_DETECT,
-    artifact_named,
     count_decisions,
-    fault_kind_of,
     has_fault,
+    make_artifact,
     max_members_exposed,
+    parse_fault_kind,
     to_release_event,
 )
 from .simulated_drains import GROUP, SimulatedAgent, SimulatedDrainCluster
@@ -99,7 +99,7 @@
 
     def _schedule_exit_of_bad_version(self) -> None:
         rng = self.simulation.rng
-        fault_kind = fault_kind_of(self.version)
+        fault_kind = parse_fault_kind(self.version)
         exit_now = partial(self._exit, self.incarnation, "fault")
         if fault_kind == VersionFault.EXITS_AT_START and self.running:
             self.simulation.schedule_in(rng.uniform(0.05, 0.3), exit_now)
@@ -107,7 +107,7 @@
             self.simulation.schedule_in(rng.uniform(1.2, 2.2), exit_now)
 
     def _serve(self, incarnation: int) -> None:
-        if fault_kind_of(self.version) != VersionFault.NEVER_SERVES:
+        if parse_fault_kind(self.version) != VersionFault.NEVER_SERVES:
             super()._serve(incarnation)
 
     def _exit(self, incarnation: int, cause: str) -> None:
@@ -135,7 +135,7 @@
         router = self._router
         rng = router.simulation.rng
         serving = self.read_status().serving
-        fault_kind = fault_kind_of(router.version)
+        fault_kind = parse_fault_kind(router.version)
         requests = max(0.0, rng.gauss(MEAN_REQUESTS_PER_REPORT, 3.0)) * serving
         failed_requests = requests * self._draw_failed_share(fault_kind)
         cpu_factor = SLOW_CPU_FACTOR if fault_kind == VersionFault.SLOW else 1.0
@@ -229,7 +229,7 @@
     """A cluster whose routers get new versions in successive rollouts."""
 
     budget = BUDGET
-    rejoin_deadline_s = 150.0
+    rejoin_timeout_s = 150.0
 
     def __init__(self, config: SimulationConfig, seed: int) -> None:
         super().__init__(config, seed)
@@ -249,9 +249,9 @@
 
     def _start_clients(self) -> None:
         super()._start_clients()
-        self._poll_release_record()
+        self._poll_rollout_record()
 
-    def _poll_release_record(self) -> None:
+    def _poll_rollout_record(self) -> None:
         """Read the rollout record periodically, and add an event to the history for each change."""
         client = self.operator.client
         read_started_at = self.now
@@ -259,19 +259,19 @@
 
         def handle_outcome(outcome: OperationOutcome) -> None:
             if outcome.kind is OutcomeKind.UNCHANGED:
-                self._on_release_record(rollout_state.decode_rollout_state(outcome.register), read_started_at)
-            self.operator.call_after(1000.0 * POLL_INTERVAL_S, self._poll_release_record)
+                self._on_rollout_record(rollout_state.decode_rollout_state(outcome.register), read_started_at)
+            self.operator.call_after(1000.0 * POLL_INTERVAL_S, self._poll_rollout_record)
 
         client.execute(rollout_state.rollout_state_key(GROUP), None, handle_outcome, READ_TIMEOUT_MS)
 
-    def _on_release_record(self, record: RolloutState, read_started_at: float) -> None:
+    def _on_rollout_record(self, record: RolloutState, read_started_at: float) -> None:
         if record == self._last_record:
             return
         self.decisions += count_decisions(self._last_record, record)
         self._last_record = record
         self.record_event(to_release_event(record, list(self.routers), self.now, read_started_at))
 
-    def _send_release_change(self, change: RegisterChange) -> None:
+    def _send_rollout_change(self, change: RegisterChange) -> None:
         client = self.operator.client
         assert client is not None
         client.execute(
@@ -288,13 +288,13 @@
         draw = rng.random()
         if record is None or record.open_rollout is None:
             if draw < 0.7:
-                self._start_release(record)
+                self._start_rollout(record)
         elif draw < 0.015:
-            self._send_release_change(rollout_state.roll_back("operator", "drill", now))
+            self._send_rollout_change(rollout_state.roll_back("operator", "drill", now))
         elif draw < 0.03:
-            self._send_release_change(rollout_state.roll_forward("operator", "drill", now))
+            self._send_rollout_change(rollout_state.roll_forward("operator", "drill", now))
         elif draw < 0.045:
-            self._send_release_change(rollout_state.pause_rollout("operator", "drill", now))
+            self._send_rollout_change(rollout_state.pause_rollout("operator", "drill", now))
         elif draw < 0.3 and record.open_rollout.pause is not None:
             # when the rollout awaits an operator, the decision is the right one for the version
             rolls_back = record.open_rollout.awaits_operator and has_fault(record.open_rollout.new.name)
@@ -305,7 +305,7 @@
 
     def _end_pause(self, rolls_back: bool, reason: str) -> None:
         change = rollout_state.roll_back if rolls_back else rollout_state.resume_rollout
-        self._send_release_change(change("operator", reason, self.now))
+        self._send_rollout_change(change("operator", reason, self.now))
 
     def _order_random_drain(self) -> None:
         rng = self.order_rng
@@ -324,7 +324,7 @@
         else:
             self._resume_drains()
 
-    def _start_release(self, record: RolloutState | None) -> None:
+    def _start_rollout(self, record: RolloutState | None) -> None:
         """Start a rollout of a new version if all routers are members of the fleet."""
         drivers = (agent.driver for agent in self.routers.values())
         state = next((driver.agent.fleet_state for driver in drivers if driver), None)
@@ -332,13 +332,13 @@
             return
         if len(state.members_of(MemberKind.ROUTER)) < len(self.routers):
             return
-        old_artifact = (record and record.baseline.get(BUILD)) or artifact_named(INITIAL_VERSION)
+        old_artifact = (record and record.baseline.get(BUILD)) or make_artifact(INITIAL_VERSION)
         fault_kind = self.order_rng.choice([GOOD_VERSION, GOOD_VERSION, *WAVES_TO_DETECT])
         version = f"{fault_kind}-{len(self.versions)}"
         self.versions.append(version)
-        new_artifact = artifact_named(version)
+        new_artifact = make_artifact(version)
         waves = rollout_state.plan_waves(state, WAVES)
-        self._send_release_change(
+        self._send_rollout_change(
             rollout_state.start_rollout(
                 BUILD, new_artifact, old_artifact, waves, "operator", "drill", self.now
             )
@@ -348,9 +348,9 @@
 
     def _stop_faults(self) -> None:
         super()._stop_faults()
-        self._finish_release()
+        self._finish_rollout()
 
-    def _finish_release(self) -> None:
+    def _finish_rollout(self) -> None:
         """Complete or roll back an open rollout: end pauses and halts periodically until none is open."""
         record = self._last_record
         rollout = None if record is None else record.open_rollout
@@ -360,14 +360,14 @@
         if rollout is not None and rollout.pause is not None:
             rolls_back = rollout.phase == RolloutPhase.ROLLBACK or has_fault(rollout.new.name)
             self._end_pause(rolls_back, "the end")
-        self.operator.call_after(3_000.0, self._finish_release)
+        self.operator.call_after(3_000.0, self._finish_rollout)
 
     def run(self) -> InvariantReport:
         """Run the test and check its history, also for the invariants of releases."""
         report = super().run()
         routers = list(self.routers)
         max_members = {
-            version: max_members_exposed(fault_kind_of(version), len(routers))
+            version: max_members_exposed(parse_fault_kind(version), len(routers))
             for version in self.versions
             if has_fault(version)
         }
--- a/rosepick/lab/drill/stand_ins.py
+++ b/rosepick/lab/drill/stand_ins.py
@@ -28,7 +28,7 @@
 from ... import logs
 from ...coordination.acceptor_store import SqliteFencingTokenStore
 from ...coordination.lease_holder import LeaseHolder
-from ...coordination.quorum_client import tcp_connections
+from ...coordination.quorum_client import tcp_connection_factory
 from ...leases.fencing import FencingGuard
 from ...leases.lease_client import LeaseConfig, LeaseState
 from ...net.boot_clock import boottime_s
@@ -109,7 +109,7 @@
         self.event_log = EventLog(options.event_file)
         self.resource = ResourceClient(options.name, options.resource_address)
         self.lease_config = LeaseConfig(fleet.leases.ttl * 1000.0, fleet.leases.drift)
-        connections = tcp_connections(self.loop, fleet.endpoints(), secret)
+        connections = tcp_connection_factory(self.loop, fleet.endpoints(), secret)
         self.client = InstrumentedQuorumClient(
             self.name, self.event_log.append, drill_clock, self.loop, connections, self.rng
         )
--- a/rosepick/lab/drill/storage_fault_injector.py
+++ b/rosepick/lab/drill/storage_fault_injector.py
@@ -30,7 +30,7 @@
     """
 
     def __init__(self, cluster: ProcessCluster, links: LinkFaultInjector) -> None:
-        self.replica: str | None = None
+        self.restoring_replica: str | None = None
         self._cluster = cluster
         self._links = links
         self._expected_log_lines: list[Callable[[], Violation | None]] = []
@@ -84,7 +84,7 @@
         cluster = self._cluster
         name = fault.target[0]
         process = cluster.processes[name]
-        self.replica = name
+        self.restoring_replica = name
         self._links.heal_all()
         for other in cluster.replicas:
             cluster.processes[other].resume()
@@ -94,7 +94,7 @@
         process.kill()
         copy_storage(folder, copy)
         process.start()
-        others = [other for other in cluster.replicas if other not in (name, cluster.spare)]
+        others = [other for other in cluster.replicas if other not in (name, cluster.spare_replica)]
         cluster.rng.shuffle(others)
         half = len(others) // 2
         self._links.isolate_replicas(others[:half], RESTART_ANNOUNCE_S)
@@ -129,7 +129,7 @@
             self._finish_restore()
 
     def _finish_restore(self) -> None:
-        self.replica = None
+        self.restoring_replica = None
 
     def _expect_log_line(self, name: str, event: str, violation: str) -> None:
         """Require that a process logs an event between now and the end of the test."""
--- a/rosepick/lab/live/clients.py
+++ b/rosepick/lab/live/clients.py
@@ -11,7 +11,7 @@
 from ...net.resource_budget import ResourceBudget
 from ..experiment import Experiment
 from ..model.client_behaviour import (
-    CLIENT_OUTCOME_BY_TRY,
+    CLIENT_OUTCOME_BY_TRY_OUTCOME,
     ClientOutcome,
     TryOutcome,
     final_outcome,
@@ -39,13 +39,13 @@
         "_last_outcome",
         "_timer",
         "_was_resent",
-        "attempts_made",
         "clients",
         "finished",
         "one_shot",
         "request",
         "request_class",
         "send_count",
+        "tries",
     )
 
     def __init__(self, clients: LiveClients, request: ScheduledRequest, one_shot: bool) -> None:
@@ -53,7 +53,7 @@
         self.request = request
         self.one_shot = one_shot
         self.request_class = clients.experiment.classes[request.klass]
-        self.attempts_made = 0
+        self.tries = 0
         self.send_count = 0  # number of sendings, including repeats of the same try
         self.finished = False
         self._last_outcome = TryOutcome.FAILED
@@ -79,7 +79,7 @@
         if self.finished:
             return
         if self.clients.now() >= self.deadline_ms():
-            self._finish(CLIENT_OUTCOME_BY_TRY[self._last_outcome])
+            self._finish(CLIENT_OUTCOME_BY_TRY_OUTCOME[self._last_outcome])
         else:
             self.clients.pools[self.request.router].acquire(self)
 
@@ -95,9 +95,9 @@
         if remaining_ms <= 0.0:
             connection.waiter = None
             connection.pool.release(connection)
-            self._finish(CLIENT_OUTCOME_BY_TRY[self._last_outcome])
+            self._finish(CLIENT_OUTCOME_BY_TRY_OUTCOME[self._last_outcome])
             return
-        self.attempts_made += 1
+        self.tries += 1
         self.send_count += 1
         name = request_id_of(self.request, self.send_count)
         self._current_try = TryRecord(
@@ -140,7 +140,7 @@
             return False
         self._was_resent = True
         self._finish_try("crossed")  # the repeat has its own Req-Id and is checked separately
-        self.attempts_made -= 1
+        self.tries -= 1
         return True
 
     def on_broken(self) -> None:
@@ -165,7 +165,7 @@
         self._last_outcome = outcome
         elapsed_ms = self.clients.now() - self.request.due_ms
         final = final_outcome(
-            self.clients.experiment.clients, self.request_class, self.attempts_made, outcome, elapsed_ms
+            self.clients.experiment.clients, self.request_class, self.tries, outcome, elapsed_ms
         )
         if final is not None:
             self._finish(final)
@@ -182,7 +182,7 @@
             self._timer = self.clients.call_at(self.deadline_ms() + LATE_ANSWER_WAIT_MS, self._on_deadline)
             return
         self._drop_connection("none")
-        self._finish(CLIENT_OUTCOME_BY_TRY[self._last_outcome])
+        self._finish(CLIENT_OUTCOME_BY_TRY_OUTCOME[self._last_outcome])
 
     def _abandon(self) -> None:
         """Disconnect the client before the deadline."""
@@ -218,7 +218,7 @@
         ]
         if self.clients.tenants:
             lines.append(f"Req-Owner: {self.clients.tenants[request.tenant]}")
-        if self.attempts_made > 1 and self.clients.experiment.clients.marked:
+        if self.tries > 1 and self.clients.experiment.clients.marked:
             lines.append("Req-Retry: 1")
         body = b""
         if request_class.write:
--- a/rosepick/lab/live/live_run.py
+++ b/rosepick/lab/live/live_run.py
@@ -117,8 +117,8 @@
         self.unexpected_exits: list[UnexpectedExit] = []
         self.routers: list[LiveRouter] = []
         self.process_starts: list[ProcessStart] = []  # for each router; empty for the default
-        self.fault_late_s = 0.0  # the largest lateness of a scheduled fault
-        self.held_up_ms = 0.0  # the longest pause of a router, by which answers may be late
+        self.max_fault_lateness_s = 0.0  # the largest lateness of a scheduled fault
+        self.max_pause_ms = 0.0  # the longest pause of a router, by which answers may be late
         self.helpers: list[HelperProcess] = []
         self._discovery_ports: list[int] = []
         self._known_endpoints: list[dict[str, Any]] = []  # cached endpoint lists by zone
@@ -211,7 +211,7 @@
     def _step(self) -> None:
         while self._timeline and self._timeline[0][0] <= self._elapsed_s():
             due_s, _, callback = heapq.heappop(self._timeline)
-            self.fault_late_s = max(self.fault_late_s, self._elapsed_s() - due_s)
+            self.max_fault_lateness_s = max(self.max_fault_lateness_s, self._elapsed_s() - due_s)
             callback()
         self._check_routers()
         for helper in self.helpers:
@@ -316,7 +316,7 @@
     def _build_measure(self, stand_in_results: StandInResults, load_results: LoadResults) -> Measure:
         measure = Measure(self.experiment)
         measure.seconds = stand_in_results.seconds
-        measure.spans = stand_in_results.spans
+        measure.fault_spans = stand_in_results.spans
         measure.cold_overloads = stand_in_results.cold_overloads
         measure.violations = stand_in_results.violations
 
@@ -334,7 +334,7 @@
             router_downtimes=self.router_downtimes,
             nodes_late_ms=stand_in_results.loop_lateness.max_ms,
             clients_late_ms=load_results.loop_lateness.max_ms,
-            held_up_ms=self.held_up_ms,
+            max_pause_ms=self.max_pause_ms,
         )
         check_rules(measure, observations)
         return measure
@@ -352,8 +352,8 @@
             load_results.loop_lateness.void_reason("the clients' loop was"),
             stand_in_results.loop_lateness.void_reason("the stand-ins' loop was"),
         ]
-        if self.fault_late_s > MAX_FAULT_LATE_S:
-            reasons.append(f"a fault came {self.fault_late_s:.2f} s late")
+        if self.max_fault_lateness_s > MAX_FAULT_LATE_S:
+            reasons.append(f"a fault came {self.max_fault_lateness_s:.2f} s late")
         for process, fault_count in (
             ("stand-ins", stand_in_results.faults),
             ("clients", load_results.faults),
--- a/rosepick/lab/live/live_simulation.py
+++ b/rosepick/lab/live/live_simulation.py
@@ -34,7 +34,7 @@
 from .run_records import NodeAttemptRecord
 
 LISTENER_UPDATE_INTERVAL_MS = 5.0
-SWEEP_INTERVAL_MS = 500.0  # interval at which idle connections are closed
+IDLE_CHECK_INTERVAL_MS = 500.0  # interval at which idle connections are closed
 START_DELAY_MS = 1_000.0  # estimate of the time from set-up to the start of the run
 DESCRIPTOR_LIMIT = 1_000_000  # effectively unlimited
 
@@ -107,7 +107,7 @@
             server.update_listeners()
 
     def _close_idle_connections(self) -> None:
-        self.loop.call_after(SWEEP_INTERVAL_MS, self._close_idle_connections)
+        self.loop.call_after(IDLE_CHECK_INTERVAL_MS, self._close_idle_connections)
         now = self.real_time_kernel.now()
         for server in self.node_servers.values():
             server.close_idle(now)
--- a/rosepick/lab/live/rule_check.py
+++ b/rosepick/lab/live/rule_check.py
@@ -28,7 +28,7 @@
     router_downtimes: Sequence[RouterDowntime] = ()
     nodes_late_ms: float = 0.0  # largest lateness of the nodes' records
     clients_late_ms: float = 0.0  # largest lateness of the clients' records
-    held_up_ms: float = 0.0  # the longest pause of a router, by which answers may be late
+    max_pause_ms: float = 0.0  # the longest pause of a router, by which answers may be late
 
 
 def check_rules(measure: Measure, observations: RunObservations) -> None:
@@ -45,7 +45,7 @@
         client_try = ClientTry(
             record.request_id,
             classes[record.klass],
-            record.deadline + observations.clients_late_ms + observations.held_up_ms,
+            record.deadline + observations.clients_late_ms + observations.max_pause_ms,
         )
         is_answer_due = _is_answer_due(record, observations.router_downtimes)
         replay = _TryReplay(monitor, record, client_try, is_answer_due, CLOCK_SKEW_MS + nodes_late_ms)
--- a/rosepick/lab/live/stand_ins.py
+++ b/rosepick/lab/live/stand_ins.py
@@ -68,7 +68,7 @@
         return StandInResults(
             attempts=simulation.attempts,
             seconds=measure.seconds,
-            spans=measure.spans,
+            spans=measure.fault_spans,
             violations=measure.violations,
             cold_overloads=measure.cold_overloads,
             loop_lateness=simulation.real_time_kernel.lateness_probe.lateness(),
--- a/rosepick/lab/measure.py
+++ b/rosepick/lab/measure.py
@@ -89,7 +89,7 @@
         self.classes = {config.name: GroupMeasure() for config in experiment.classes}
         self.tenants = {config.name: GroupMeasure() for config in experiment.tenants}
         self.violations: list[RuleViolation] = []
-        self.spans: list[FaultSpan] = []
+        self.fault_spans: list[FaultSpan] = []
         self.cold_overloads = 0
 
     def second_at(self, now: float) -> SecondCounts:
@@ -169,7 +169,7 @@
             tenants={name: group.summarize() for name, group in self.tenants.items()},
             percentiles=[(percentile, _percentile_ms(self.times, percentile)) for percentile in PERCENTILES],
             windows=windows,
-            troubles=self.spans,
+            troubles=self.fault_spans,
             must=[self._check_requirement(requirement) for requirement in experiment.must],
             broken=self.violations,
         )
--- a/rosepick/lab/model/client_behaviour.py
+++ b/rosepick/lab/model/client_behaviour.py
@@ -30,7 +30,7 @@
     LEFT = "left"
 
 
-CLIENT_OUTCOME_BY_TRY = {
+CLIENT_OUTCOME_BY_TRY_OUTCOME = {
     TryOutcome.REFUSED: ClientOutcome.REFUSED,
     TryOutcome.FAILED: ClientOutcome.FAILED,
 }
@@ -55,7 +55,7 @@
     may_retry = last_outcome is TryOutcome.REFUSED or request_class.effect == "retryable"
     if may_retry and tries <= clients.retries:
         return None
-    return CLIENT_OUTCOME_BY_TRY[last_outcome]
+    return CLIENT_OUTCOME_BY_TRY_OUTCOME[last_outcome]
 
 
 def retry_pause_ms(clients: ClientsConfig, retry_after_ms: float, now: float, draw: float) -> float:
--- a/rosepick/lab/model/clients.py
+++ b/rosepick/lab/model/clients.py
@@ -10,7 +10,13 @@
 from ..experiment import Experiment
 from ..experiment_config import RequestClassConfig
 from ..measure import Measure, MeasuredRequest
-from .client_behaviour import CLIENT_OUTCOME_BY_TRY, ClientOutcome, TryOutcome, final_outcome, retry_pause_ms
+from .client_behaviour import (
+    CLIENT_OUTCOME_BY_TRY_OUTCOME,
+    ClientOutcome,
+    TryOutcome,
+    final_outcome,
+    retry_pause_ms,
+)
 from .kernel import Kernel
 from .random_streams import UniformStream
 from .request_payload import RequestPayload
@@ -83,7 +89,7 @@
         now = self.kernel.time
         remaining_ms = client_request.deadline - now
         if remaining_ms <= 0:
-            self._finish(client_request, CLIENT_OUTCOME_BY_TRY[client_request.last_outcome])
+            self._finish(client_request, CLIENT_OUTCOME_BY_TRY_OUTCOME[client_request.last_outcome])
             return
         request = client_request.request
         router = self.find_router(request.router)
--- a/rosepick/lab/model/fault_schedule.py
+++ b/rosepick/lab/model/fault_schedule.py
@@ -58,7 +58,7 @@
 def _begin_fault(simulation: Simulation, fault: FaultConfig, inject: InjectFault) -> None:
     injected = inject(simulation, fault)
     until = fault.at + fault.last
-    simulation.measure.spans.append(FaultSpan(fault.kind, fault.at, until, injected.description))
+    simulation.measure.fault_spans.append(FaultSpan(fault.kind, fault.at, until, injected.description))
     if fault.last:
         simulation.kernel.call_at(1000.0 * until, injected.revert)
 
--- a/rosepick/lab/model/patch_campaign.py
+++ b/rosepick/lab/model/patch_campaign.py
@@ -42,7 +42,7 @@
         self.done: set[str] = set()
         self.max_out = 0
         self._started_at = simulation.kernel.time
-        self._capacity_estimator = failure_detector.StoreCapacityEstimator(
+        self._capacity_estimator = failure_detector.OriginCapacityEstimator(
             failure_detector.FailureDetectorPolicy()
         )
         zone_share = min(1.0, 2.0 * fault.share)
@@ -70,7 +70,7 @@
         text = f"{len(self.done)} done, at most {self.max_out} out at once"
         now = self.simulation.kernel.time
         span = FaultSpan("patched", self._started_at / 1000.0, now / 1000.0, text)
-        self.simulation.measure.spans.append(span)
+        self.simulation.measure.fault_spans.append(span)
 
     def _may_start(self, uid: str) -> bool:
         if self.fault.manner == "agreed":
--- a/rosepick/lab/report/page.py
+++ b/rosepick/lab/report/page.py
@@ -58,7 +58,7 @@
     Costs are shown for each run if there is one for each run, else only their sums.
     """
     entries = _build_entries(runs, costs)
-    worst_first = sorted(entries, key=lambda entry: entry.run.good())
+    worst_first = sorted(entries, key=lambda entry: entry.run.has_passed())
     verdicts = [(entry, verdict) for entry in entries if not entry.run.void for verdict in entry.run.must]
     verdicts.sort(key=lambda pair: pair[1].held)
     broken = [(entry, violation) for entry in entries for violation in entry.run.broken]
@@ -244,7 +244,7 @@
     for entry in entries:
         entries_by_kind.setdefault((entry.case, entry.run.seed), []).append(entry)
     worst_first = sorted(
-        entries_by_kind, key=lambda kind: all(entry.run.good() for entry in entries_by_kind[kind])
+        entries_by_kind, key=lambda kind: all(entry.run.has_passed() for entry in entries_by_kind[kind])
     )
     shown_kinds = worst_first[:MAX_GROUPS]
     groups = [
--- a/rosepick/lab/results.py
+++ b/rosepick/lab/results.py
@@ -106,7 +106,7 @@
     must: list[RequirementResult]
     broken: list[RuleViolation]
 
-    def good(self) -> bool:
+    def has_passed(self) -> bool:
         """Return whether the run is valid, broke no rule and met all requirements."""
         return not self.void and not self.broken and all(requirement.held for requirement in self.must)
 
--- a/rosepick/lab/scale/scale_plan.py
+++ b/rosepick/lab/scale/scale_plan.py
@@ -32,7 +32,7 @@
     routers: int
 
 
-def two_thirds_replaced(nodes: int) -> tuple[NodeReplacement, ...]:
+def replace_two_thirds(nodes: int) -> tuple[NodeReplacement, ...]:
     """Return the replacement of two thirds of a fleet, in four steps within about five seconds."""
     return (NodeReplacement(at_s=1.0, steps=4, nodes_per_step=nodes // 6, away_s=2.5),)
 
--- a/rosepick/lab/scale/scale_run.py
+++ b/rosepick/lab/scale/scale_run.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from ...logs import parse_log_fields
-from ...net.client_connection import CLOSES_AT_OWN_WILL
+from ...net.client_connection import ROUTER_INITIATED_CLOSES
 from ..experiment import Experiment, parse_experiment
 from ..live.helper_process import ROOT, child_environment, last_log_lines
 from ..live.process_start import ProcessStart
@@ -36,7 +36,7 @@
 READY_POLL_INTERVAL_S = 0.05
 RESTART_DELAY_S = 0.2  # from the SIGKILL that follows a SIGTERM to the start of the next process
 MAX_RIG_LATE_S = 0.25  # a run whose test rig was later than this is void
-MAX_HOLD_UP_S = 0.15  # a run whose routers were stopped for longer is void
+MAX_PAUSE_S = 0.15  # a run whose routers were stopped for longer is void
 # An attempt that arrives later than this after the end of its request is a violation.
 MAX_SEND_AFTER_END_S = 0.1
 LOST_OUTCOMES = ("lost", "broken")
@@ -151,7 +151,7 @@
         self.plan = plan
         self.begin_s = time.monotonic()
         self.unix_ms = 1000.0 * time.time()
-        self.fault_late_s = 0.0
+        self.max_fault_lateness_s = 0.0
         self.routers: list[LiveRouter] = []
         self.downtimes: list[list[tuple[float, float]]] = [[] for _ in range(plan.routers)]
         self.clients: StandInProcess | None = None
@@ -253,7 +253,7 @@
             while self._scheduled_faults and self._scheduled_faults[0][0] <= self.now_s():
                 due_s, _, callback = heapq.heappop(self._scheduled_faults)
                 callback()
-                self.fault_late_s = max(self.fault_late_s, self.now_s() - due_s)
+                self.max_fault_lateness_s = max(self.max_fault_lateness_s, self.now_s() - due_s)
             time.sleep(POLL_INTERVAL_S)
 
     def result(self) -> ScaleResult:
@@ -265,7 +265,11 @@
         self._cpu_throttle.close()
         logs = [router.log_file.read_text("utf-8", "replace") for router in self.routers]
         rig_late_s = max(
-            [load.max_send_late_s, self.fault_late_s, *(end - begin for begin, end in load.late_periods)]
+            [
+                load.max_send_late_s,
+                self.max_fault_lateness_s,
+                *(end - begin for begin, end in load.late_periods),
+            ]
         )
         longest_stop_s = self._cpu_throttle.longest_stop_s
         lost = [request for request in load.requests if self._is_lost(request, load.late_periods)]
@@ -322,7 +326,7 @@
     """Return why a run is void; empty if it is valid."""
     if rig_late_s > MAX_RIG_LATE_S:
         return f"the rig was {rig_late_s:.2f} s late"
-    if longest_stop_s > MAX_HOLD_UP_S:
+    if longest_stop_s > MAX_PAUSE_S:
         return f"routers were stopped for {longest_stop_s:.2f} s"
     return ""
 
@@ -330,7 +334,7 @@
 def _count_unanswered_closes(log: str) -> int:
     """Return how many lines of a log report a close by the router's own choice before the answer."""
     lines = [parse_log_fields(line) for line in log.splitlines() if "connection_closed_unanswered" in line]
-    own_reasons = {reason.value for reason in CLOSES_AT_OWN_WILL}
+    own_reasons = {reason.value for reason in ROUTER_INITIATED_CLOSES}
     return sum(fields.get("reason") in own_reasons for fields in lines)
 
 
--- a/rosepick/lab/soak/soak_plan.py
+++ b/rosepick/lab/soak/soak_plan.py
@@ -15,7 +15,7 @@
 QUIET_END_S = 3.0
 HOUR_S = 3_600.0
 RESTART_STORM_PROBABILITY = 0.5  # that a plan has a restart of many routers
-MAX_HOLD_UP_S = 0.15  # longest pause of a router
+MAX_PAUSE_S = 0.15  # longest pause of a router
 
 FLEET = """
 name = "soak"
@@ -125,7 +125,7 @@
         "routers": rng.randint(1, max(1, routers // 2)),
     },
     "router_pause": lambda rng, routers: {
-        "for": _draw_duration(rng, 0.05, MAX_HOLD_UP_S),
+        "for": _draw_duration(rng, 0.05, MAX_PAUSE_S),
         "routers": rng.randint(1, routers),
     },
     "router_restart": lambda rng, routers: {
--- a/rosepick/lab/soak/soak_run.py
+++ b/rosepick/lab/soak/soak_run.py
@@ -10,7 +10,7 @@
 from ..live.process_start import ProcessStart
 from ..results import RunResult
 from . import process_faults
-from .soak_plan import MAX_HOLD_UP_S, SoakPlan
+from .soak_plan import MAX_PAUSE_S, SoakPlan
 
 # Log events with which a router reports a fault of its own.
 FAULT_EVENTS = frozenset(
@@ -43,7 +43,7 @@
         live.process_starts = [
             ProcessStart(process_faults.__name__, faults.environment()) for faults in plan.process_faults
         ]
-        live.held_up_ms = 1000.0 * MAX_HOLD_UP_S
+        live.max_pause_ms = 1000.0 * MAX_PAUSE_S
         live.set_up()
         live.run_to_end(lambda _share: None)
         run = live.result({})
--- a/rosepick/net/batch_scheduler.py
+++ b/rosepick/net/batch_scheduler.py
@@ -77,7 +77,7 @@
     def __init__(self, scheduler: BatchItemScheduler, sock: socket.socket) -> None:
         super().__init__()
         self.scheduler = scheduler
-        self.used = False
+        self.has_had_response = False
         self.item: BatchItem | None = None
         self.buffered_bytes = 0
         self._reader = ResponseReader(batch_protocol.MAX_ITEM_RESPONSE_BYTES)
@@ -137,7 +137,7 @@
     def _finish(self, item: BatchItem, response: Response) -> None:
         self.item = None
         item.connection = None
-        self.used = True
+        self.has_had_response = True
         self._set_buffered_bytes(0)
         if response.reusable:
             self.scheduler.add_idle(self)
@@ -152,7 +152,7 @@
         bytes is therefore repeated once, as RFC 9112, 9.3.1 describes.
         """
         item, self.item = self.item, None
-        may_resend = self.used and not self._response_begun
+        may_resend = self.has_had_response and not self._response_begun
         self.close()
         if item is None:
             return
--- a/rosepick/net/client_connection.py
+++ b/rosepick/net/client_connection.py
@@ -23,7 +23,7 @@
 
 logger = logging.getLogger(__name__)
 # Closes that the router decides itself; all others are caused by the client or an upstream.
-CLOSES_AT_OWN_WILL = frozenset(
+ROUTER_INITIATED_CLOSES = frozenset(
     {
         CloseReason.NOT_WORTH_KEEPING,
         CloseReason.CAPACITY,
@@ -244,7 +244,7 @@
         has_work = not (self.stream.has_nothing_to_read() if may_drop_partial else self.is_idle())
         return check_close(
             CloseFacts(
-                at_own_will=True,
+                is_router_initiated=True,
                 owes_answer=self.protocol.response_pending or self.stream.has_unwritten(),
                 expects_request=has_work or is_new,
             )
@@ -294,7 +294,7 @@
                 unwritten=self.stream.has_unwritten(),
                 open_ms=self.listener.loop.now() - self.record.opened_at,
             )
-        facts = CloseFacts(reason in CLOSES_AT_OWN_WILL, owes_answer, expects_request=False)
+        facts = CloseFacts(reason in ROUTER_INITIATED_CLOSES, owes_answer, expects_request=False)
         denial = check_close(facts)
         if denial is not None:
             record_violation(f"close_{denial.value}", reason=reason.value)
--- a/rosepick/upgrade/state_document.py
+++ b/rosepick/upgrade/state_document.py
@@ -46,7 +46,7 @@
 class LatencyState:
     """Holds latencies of responses, in milliseconds."""
 
-    service_time: float
+    latency_per_request: float
     mean_latency: float
     deviation: float
 
--- a/rosepick/upgrade/state_transfer.py
+++ b/rosepick/upgrade/state_transfer.py
@@ -10,8 +10,8 @@
 from array import array
 from math import exp
 
-from ..decisions.decide import FILTER_CAPACITY, HEAT_MEMORY_READS, MIN_TOP_SIZE, Router
-from ..decisions.endpoint_pools import KEEP_MEMORY_READS
+from ..decisions.decide import FILTER_CAPACITY, MIN_TOP_SIZE, READ_SHARE_DECAY_READS, Router
+from ..decisions.endpoint_pools import MAX_KEEP_SHARE_READS
 from .state_document import STATE_FORMAT_VERSION, StateDocument, parse_state_document
 
 MIN_SHED_LIMIT = 1.0
@@ -35,8 +35,8 @@
         "top": len(popularity.top),
         "tail": len(popularity.tail),
         "pools": [router.pools.keep_share, router.pools.keep_reads, router.pools.wide_share],
-        "paces": [router.service_time, router.mean_latency, router.deviation],
-        "origin": [origin.latency_ewma, origin.best, origin.limit, origin.total],
+        "paces": [router.latency_per_request, router.mean_latency, router.deviation],
+        "origin": [origin.latency_ewma, origin.best_latency_ms, origin.limit, origin.total],
         "pressure": [shedder.limit, shedder.wait_share],
         "servers": [
             [state.id, state.latency_ewma, state.load_ewma, state.concurrency_limit]
@@ -48,7 +48,7 @@
     keys = array("Q", [key for key, _ in entries])
     endpoint_ids = array("I", [endpoint_id for _, (endpoint_id, _, _) in entries])
     decayed_reads = array(
-        "f", [reads * exp((at - popularity.reads) / HEAT_MEMORY_READS) for _, (_, reads, at) in entries]
+        "f", [reads * exp((at - popularity.reads) / READ_SHARE_DECAY_READS) for _, (_, reads, at) in entries]
     )
     header_line = json.dumps(header).encode() + b"\n"
     return header_line + keys.tobytes() + endpoint_ids.tobytes() + decayed_reads.tobytes()
@@ -89,13 +89,13 @@
 
 def _apply_router_state(router: Router, state: StateDocument) -> None:
     router.pools.keep_share = min(1.0, state.pools.keep_share)
-    router.pools.keep_reads = min(KEEP_MEMORY_READS, state.pools.keep_reads)
+    router.pools.keep_reads = min(MAX_KEEP_SHARE_READS, state.pools.keep_reads)
     router.pools.wide_share = min(1.0, state.pools.wide_share)
-    router.service_time = state.latencies.service_time
+    router.latency_per_request = state.latencies.latency_per_request
     router.mean_latency = state.latencies.mean_latency
     router.deviation = state.latencies.deviation
     router.origin.latency_ewma = state.origin.latency_ewma
-    router.origin.best = state.origin.best
+    router.origin.best_latency_ms = state.origin.best
     router.origin.limit = max(router.origin.min_limit, state.origin.limit)
     router.origin.total = state.origin.total
     router.shedder.limit = max(MIN_SHED_LIMIT, state.shedder.limit)
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -91,7 +91,7 @@
     def __init__(
         self, config: api.RouterSettings, endpoints: list[api.Endpoint], seed: int, keys: int = 40
     ) -> None:
-        self.given = config
+        self.settings = config
         self.rng = random.Random(seed)
         self.router = Router(config, seed)
         self.now = 1000.0
@@ -129,7 +129,7 @@
             tracked.closed = True
             tracked.answers += 1
         elif isinstance(event, api.RequestArrived):
-            request_class = self.given.classes[event.class_index]
+            request_class = self.settings.classes[event.class_index]
             self.requests[event.ref] = TrackedRequest(event, request_class, self.now + event.time_left_ms)
         for action in self.router.handle(self.now, event):
             self.trace.append((self.now, action))
@@ -142,7 +142,7 @@
         elif isinstance(action, api.Refuse | api.Fail):
             tracked = self.requests[action.ref]
             assert not tracked.closed, "second final answer"
-            assert self.now <= tracked.deadline + self.given.rules.grace_to_answer, "answer too late"
+            assert self.now <= tracked.deadline + self.settings.rules.grace_to_answer, "answer too late"
             if isinstance(action, api.Refuse):
                 risky = [n for n in range(len(tracked.sends)) if tracked.results.get(n) not in api.NEVER_RAN]
                 if risky:
@@ -151,7 +151,7 @@
             tracked.closed = True
             tracked.answers += 1
         elif isinstance(action, api.Cancel):
-            assert self.given.limits.allow_cancel
+            assert self.settings.limits.allow_cancel
             assert action.attempt < len(
                 self.requests[action.ref].sends
             ), "cancels an attempt that was never sent"
@@ -162,10 +162,10 @@
         elif isinstance(action, api.SetTimer):
             self.schedule(action.due_at, api.TimerFired(action.token))
         elif isinstance(action, api.Probe):
-            assert self.given.limits.allow_probes
+            assert self.settings.limits.allow_probes
             assert action.endpoint_id in self.listed
             result = self.rng.choice([Result.OK, Result.OK, Result.TIMEOUT, Result.CONNECT_FAILED])
-            report = tuple(self.rng.random() * 9 for _ in self.given.report_fields)
+            report = tuple(self.rng.random() * 9 for _ in self.settings.report_fields)
             self.schedule(
                 self.now + self.rng.random() * 200, api.ProbeResult(action.endpoint_id, result, 5.0, report)
             )
@@ -179,13 +179,15 @@
         tracked = self.requests[action.ref]
         assert not tracked.closed, "sent after the final answer"
         assert action.endpoint_id in self.listed, "sent to an endpoint that was never listed"
-        assert len(tracked.sends) < self.given.limits.max_attempts
+        assert len(tracked.sends) < self.settings.limits.max_attempts
         stopped = self.stopped.get(action.endpoint_id)
         assert (
-            stopped is None or self.now <= stopped + self.given.rules.stop_sending_within
+            stopped is None or self.now <= stopped + self.settings.rules.stop_sending_within
         ), "sent after the drain's grace period"
         in_flight = [n for n in range(len(tracked.sends)) if n not in tracked.results]
-        assert len(in_flight) < (2 if self.given.limits.allow_hedging else 1), "too many attempts in flight"
+        assert len(in_flight) < (
+            2 if self.settings.limits.allow_hedging else 1
+        ), "too many attempts in flight"
         risky = [n for n in range(len(tracked.sends)) if tracked.results.get(n) not in api.NEVER_RAN]
         if risky and tracked.request_class.effect is Effect.FRAGILE:
             raise AssertionError("fragile request sent again")
@@ -207,7 +209,7 @@
 
     def check_cold(self, server: int) -> None:
         """Check rule 4: a budget in every window, by the least capacity that a cold endpoint can have."""
-        rules, member = self.given.rules, self.listed[server]
+        rules, member = self.settings.rules, self.listed[server]
 
         def warm(other: api.Endpoint) -> bool:
             return other.started_at <= 0 or self.now >= other.started_at + rules.warm_within
@@ -216,9 +218,9 @@
             since = max(since, self.now - rules.fall)
             return sum(when > since for when in self.sent.get(number, [])[-500:])
 
-        if warm(member) or member.kind == self.given.origin_kind:  # the rule applies to cache nodes only
+        if warm(member) or member.kind == self.settings.origin_kind:  # the rule applies to cache nodes only
             return
-        every = [m for m in self.listed.values() if m.kind != self.given.origin_kind and warm(m)]
+        every = [m for m in self.listed.values() if m.kind != self.settings.origin_kind and warm(m)]
         near = [recent(m.endpoint_id) for m in every if m.zone == member.zone]
         # if no neighbour in the zone is usable, which the driver cannot know, all warm endpoints count
         beside = [*near, *(COLD_REMOTE_FACTOR * recent(m.endpoint_id) for m in every)]
@@ -235,13 +237,13 @@
         latency_ms = rng.random() * 120
         if roll < success_probability:
             origin = self.listed[action.endpoint_id].kind == ORIGIN_KIND
-            miss = self.given.mode is Mode.ASIDE and not origin and rng.random() < 0.4
+            miss = self.settings.mode is Mode.ASIDE and not origin and rng.random() < 0.4
             result = Result.MISS if miss else Result.OK
         else:
             result = rng.choice([r for r in Result if r not in (Result.OK, Result.MISS, Result.NEVER_SENT)])
             if result is Result.TIMEOUT:
                 latency_ms = tracked.deadline - self.now
-        report = tuple(rng.random() * 9 for _ in self.given.report_fields) if rng.random() < 0.5 else ()
+        report = tuple(rng.random() * 9 for _ in self.settings.report_fields) if rng.random() < 0.5 else ()
         if tracked.request_class.streaming and result is Result.OK and rng.random() < 0.5:
             tracked.closed = True  # the response is being forwarded to the client
             tracked.answers += 1
@@ -257,10 +259,10 @@
         rng = self.rng
         for ref in range(1, requests + 1):
             self.advance(self.now + rng.expovariate(1.0) * rate)
-            class_index = rng.randrange(len(self.given.classes))
-            time_left_ms = self.given.classes[class_index].deadline_ms * rng.uniform(0.3, 1.0)
+            class_index = rng.randrange(len(self.settings.classes))
+            time_left_ms = self.settings.classes[class_index].deadline_ms * rng.uniform(0.3, 1.0)
             key = rng.randrange(self.keys) + 1 if self.keys else 0
-            tenant = rng.randrange(max(1, len(self.given.tenants)))
+            tenant = rng.randrange(max(1, len(self.settings.tenants)))
             self.feed(
                 api.RequestArrived(ref, class_index, time_left_ms, key, tenant, is_write=rng.random() < 0.2)
             )
--- a/tests/golden_capture_forms.py
+++ b/tests/golden_capture_forms.py
@@ -195,14 +195,14 @@
     return export_state(router(199), 5.0)
 
 
-def taught(document: bytes) -> tuple[int, float, bytes]:
+def state_after_import(document: bytes) -> tuple[int, float, bytes]:
     """Import a state document; return its number of keys, its time, and the state that is exported again."""
     importer = router(0)
     keys = import_state(importer, document, 9.0)
     return keys, exported_at(document), export_state(importer, 5.0)
 
 
-def seat_files() -> dict[str, str]:
+def registry_files() -> dict[str, str]:
     """Return the files in which the processes of one router publish their counts and state."""
     with temporary_folder() as folder:
         seats = ProcessRegistry(folder, ("127.0.0.1", 5000))
@@ -217,7 +217,7 @@
         return found
 
 
-def seats_beside(files: dict[str, str]) -> tuple[tuple[int, ...], bytes | None]:
+def read_registry_files(files: dict[str, str]) -> tuple[tuple[int, ...], bytes | None]:
     """Return the counts and the state that a process reads from the recorded files of another process."""
     with temporary_folder() as folder:
         held = []
@@ -244,13 +244,13 @@
 
 def read_state_document(document: bytes) -> object:
     """Return the number of keys and the time of a state document, or the exported state if it differs."""
-    keys, when, again = taught(document)
+    keys, when, again = state_after_import(document)
     return (keys, when) if again == document else again
 
 
 def document_after_import() -> bytes:
     """Return the state exported after the import of a document with the former rendezvous order."""
-    return taught((GOLDEN / "upgrade-document-old-order.bin").read_bytes())[2]
+    return state_after_import((GOLDEN / "upgrade-document-old-order.bin").read_bytes())[2]
 
 
 def replayed_recording() -> object:
@@ -268,6 +268,6 @@
     "upgrade-document-old-order.bin": Form(
         constant((50, 5.0)), lambda _: document_after_import(), read_state_document
     ),
-    "upgrade-seats.json": Form(seat_files, as_json),
+    "upgrade-seats.json": Form(registry_files, as_json),
     "upgrade-environment.json": Form(environment_settings, as_json),
 }
--- a/tests/golden_command_forms.py
+++ b/tests/golden_command_forms.py
@@ -33,7 +33,7 @@
 from .scenario import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
-CONNECTIONS_TARGET = f"{quorum_client.__name__}.{quorum_client.tcp_connections.__name__}"
+CONNECTIONS_TARGET = f"{quorum_client.__name__}.{quorum_client.tcp_connection_factory.__name__}"
 FLEET_FILE = '[witnesses]\nw1 = "127.0.0.1:7901"\nw2 = "127.0.0.1:7902"\nw3 = "127.0.0.1:7903"\n'
 BROKEN_FLEET_FILE = '[witnesses]\nw1 = "nowhere"\n'
 OPERATORS_FILE = "# ours\ncapture_segments 3\nidle_timeout 1.5 s\nmultiget_listen 5003\n"
--- a/tests/golden_fleet_forms.py
+++ b/tests/golden_fleet_forms.py
@@ -15,14 +15,14 @@
 from rosepick.consensus.messages import Register
 from rosepick.consensus.proposer import RegisterChange
 from rosepick.coordination.agent_state_file import AgentStateFile
-from rosepick.coordination.artifact_fetch import digest_of
+from rosepick.coordination.artifact_fetch import compute_digest
 from rosepick.fleet import drain_permits, failure_detector, fleet_state, leader_steps, rollout_state
 from rosepick.fleet.canary_analysis import CanaryAnalysis, HealthMetrics
 from rosepick.fleet.deployer import ArtifactStatus, Deployer, DeployPolicy
 from rosepick.fleet.disruption_budget import DisruptionBudget, Limit
 from rosepick.leases import lease_record
 
-from .golden_support import GOLDEN, Form, as_json, temporary_folder, text_of
+from .golden_support import GOLDEN, Form, as_json, temporary_folder, write_file
 
 NOON = 1_700_000_000.25  # wall clock in seconds
 
@@ -337,13 +337,13 @@
 def digests() -> object:
     """Return the digests that processes compare: of budgets, a settings file and a build folder."""
     with temporary_folder() as folder:
-        settings = text_of(folder, "settings.json", b'{"rules": {}}\n')
+        settings = write_file(folder, "settings.json", b'{"rules": {}}\n')
         build = folder / "build"
         (build / "bin").mkdir(parents=True)
-        text_of(build, "bin/router", b"#!/bin/sh\n").chmod(0o755)
-        text_of(build, "notes", b"notes\n").chmod(0o644)
+        write_file(build, "bin/router", b"#!/bin/sh\n").chmod(0o755)
+        write_file(build, "notes", b"notes\n").chmod(0o644)
         settings.chmod(0o644)
-        return [BUDGET.digest(), DisruptionBudget().digest(), digest_of(settings), digest_of(build)]
+        return [BUDGET.digest(), DisruptionBudget().digest(), compute_digest(settings), compute_digest(build)]
 
 
 def fields_of_registers() -> object:
--- a/tests/golden_quorum_forms.py
+++ b/tests/golden_quorum_forms.py
@@ -114,7 +114,7 @@
         return Acceptor(name, fresh.state, f"run-{name}")
 
 
-def answer_of(acceptor: Acceptor, frame: bytes, store: AcceptorStore | None = None) -> bytes:
+def reply_frame(acceptor: Acceptor, frame: bytes, store: AcceptorStore | None = None) -> bytes:
     """Answer a request like a replica's process: the changes are stored before the reply is returned."""
     reply, changes = acceptor.handle(codec.decode_request(frame, KEY), 12.5)
     if store is not None and changes:
@@ -169,7 +169,7 @@
         store = AcceptorStore(folder, STORAGE)
         acceptor = replica("w1", store)
         requests = replica_requests()
-        replies = [answer_of(acceptor, frame, store) for frame in requests]
+        replies = [reply_frame(acceptor, frame, store) for frame in requests]
         store.close()
         return b"".join(requests), b"".join(replies), dump_of(folder / "witness.sqlite3")
 
@@ -237,7 +237,7 @@
     frames: list[list[str]] = []
 
     def exchange(name: str, frame: bytes) -> bytes:
-        reply = answer_of(replicas[name], frame)
+        reply = reply_frame(replicas[name], frame)
         frames.append([name, frame.hex(), reply.hex()])
         return reply
 
--- a/tests/golden_support.py
+++ b/tests/golden_support.py
@@ -62,7 +62,7 @@
     return value
 
 
-def text_of(folder: Path, name: str, data: bytes) -> Path:
+def write_file(folder: Path, name: str, data: bytes) -> Path:
     """Write a file and return its path."""
     path = folder / name
     path.write_bytes(data)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -25,14 +25,14 @@
     replica = quorum.replica("w1")
     assert len(requests) == len(replies) > 25
     for request, answer in zip(requests, replies, strict=True):
-        assert quorum.answer_of(replica, request) == answer
+        assert quorum.reply_frame(replica, request) == answer
 
 
 def test_new_replicas_answer_an_old_client_during_a_reconfiguration() -> None:
     replicas: dict[str, quorum.Replica] = {}
     for name, request, answer in recorded_session()["frames"]:
         replica = replicas.setdefault(name, quorum.replica(name))
-        assert quorum.answer_of(replica, bytes.fromhex(request)).hex() == answer
+        assert quorum.reply_frame(replica, bytes.fromhex(request)).hex() == answer
     assert len(replicas) == 4
 
 
@@ -67,15 +67,15 @@
 def test_a_new_router_imports_the_state_of_an_old_one() -> None:
     for name in ("upgrade-document-old-order.bin", "upgrade-document.bin"):
         document = (GOLDEN / name).read_bytes()
-        assert router.taught(document) == (50, 5.0, document)
+        assert router.state_after_import(document) == (50, 5.0, document)
     assert router.upgrade_document() == document
 
 
 def test_a_new_router_starts_beside_an_old_one() -> None:
     """It finds the files of two old processes, what each contains, and the state document left for it."""
     files: dict[str, str] = json.loads((GOLDEN / "upgrade-seats.json").read_text("utf-8"))
-    assert router.seats_beside(files) == ((300, 70), b"what is known")
-    assert router.seat_files() == files
+    assert router.read_registry_files(files) == ((300, 70), b"what is known")
+    assert router.registry_files() == files
 
 
 def test_an_old_agent_finds_the_artifact_fetch_of_a_program_that_was_replaced_under_it() -> None:
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -25,7 +25,7 @@
     may_take_permit,
     unplanned_halt_reason,
 )
-from rosepick.fleet.failure_detector import FailureDetector, HealthReport, StoreCapacityEstimator
+from rosepick.fleet.failure_detector import FailureDetector, HealthReport, OriginCapacityEstimator
 from rosepick.fleet.fleet_state import DrainRequest, FleetMember, FleetState, MemberPhase, MemberProfile
 from rosepick.fleet.versioned_document import DocumentDecodeError
 from rosepick.lab.drill import drain_invariants, drill_file, runner, simulated_drains
@@ -538,7 +538,7 @@
 
 
 def test_capacity_falls_at_once_and_grows_slowly() -> None:
-    estimator = StoreCapacityEstimator(failure_detector.FailureDetectorPolicy())
+    estimator = OriginCapacityEstimator(failure_detector.FailureDetectorPolicy())
 
     def reports(refused: float, misses: float) -> list[tuple[int, HealthReport]]:
         caches = [(1, HealthReport(1, 1, True, hits=20.0, misses=misses / 10)) for _ in range(10)]
@@ -683,7 +683,7 @@
     total = runner.DrillSummary()
     for seed in range(1, 7):
         total.add(runner.run_simulated(drill, seed))
-    assert not total.broken
+    assert not total.seeds_with_violations
     assert total.counts["budget full"] > 10 and total.counts["members out by program"] > 30
     again = runner.run_simulated(drill, 3)
     assert again.counts == runner.run_simulated(drill, 3).counts
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -215,7 +215,7 @@
     total = runner.DrillSummary()
     for seed in range(1, 9):
         total.add(runner.run_simulated(drill, seed))
-    assert not total.broken
+    assert not total.seeds_with_violations
     assert total.counts["effects refused"] > 0 and total.counts["leases holds"] > 30
     assert sum(count > 0 for name, count in total.counts.items() if name.startswith("fault ")) > 12
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -295,7 +295,7 @@
     def document(self) -> dict[str, Any]:
         document = super().document()
         classes = [{**one} for one in SETTINGS["request_classes"]]
-        classes[1]["repeat_window"] = 350.0  # MAX_HOLD_UP_MS of it is reserved for a pause of the router
+        classes[1]["repeat_window"] = 350.0  # MAX_WRITE_DELAY_MS of it is reserved for a pause of the router
         document["settings"] = {**SETTINGS, "request_classes": classes}
         return document
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -136,7 +136,7 @@
     assert run.totals["offered"] == 30  # without the warm-up of one second
     assert run.classes["read"].served_share == pytest.approx(20 / 30, abs=1e-6)
     assert [(verdict.value, verdict.held) for verdict in run.must] == [(0.5, False), (68.0, False)]
-    assert not run.good()
+    assert not run.has_passed()
     line = results.encode_result(run)
     assert json.loads(line)["kind"] == "run"
 
@@ -209,7 +209,7 @@
     run, _ = sim.run_simulated(experiment.parse_experiment(text, "f", changes), 1, "random", {})
     assert run.totals["fell"] >= 1
     assert {broken.rule for broken in run.broken} == {"cold"}
-    assert not run.good()
+    assert not run.has_passed()
 
 
 def test_every_simulated_fault_kind_is_injected() -> None:
--- a/tests/test_lab_policies.py
+++ b/tests/test_lab_policies.py
@@ -41,8 +41,8 @@
     def __init__(self, name: str, setup: str, seed: int) -> None:
         super().__init__(*SETUPS[setup][:2], seed, SETUPS[setup][2])
         # baseline policies have one attempt in flight; the driver checks that by these limits
-        self.given = replace(self.given, limits=replace(self.given.limits, allow_hedging=False))
-        self.policy = POLICIES[name](self.given, seed)
+        self.settings = replace(self.settings, limits=replace(self.settings.limits, allow_hedging=False))
+        self.policy = POLICIES[name](self.settings, seed)
         self.router = self.policy  # type: ignore[assignment]
         if isinstance(self.policy, Oracle):
             self.policy.ground_truth = FakeGroundTruth({})
--- a/tests/test_multiget.py
+++ b/tests/test_multiget.py
@@ -462,7 +462,7 @@
         assert isinstance(batch, BatchDownstreamConnection)
         item = batch.unwritten_items[0]
         assert item.connection is not None
-        item.connection.used = True  # simulates a connection that carried an item before
+        item.connection.has_had_response = True  # simulates a connection that carried an item before
         idle_connection.close()
         self.serve()
         entries = self.read_entries("b1")
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -23,7 +23,7 @@
     FetchError,
     FetchOptions,
     compose_config,
-    digest_of,
+    compute_digest,
     fetch_artifact,
 )
 from rosepick.coordination.artifact_store import LocalArtifactStore, MemberProgram
@@ -505,12 +505,14 @@
     source = tmp_path / "source"
     source.mkdir()
     (source / "run.py").write_text(run)
-    digest = digest_of(source)
+    digest = compute_digest(source)
     target = tmp_path / "place"
     try:
         given_source = tmp_path / more.pop("source", "source")
         fetch_artifact(given_source, more.pop("digest", digest), target, fetch_options(tmp_path, **more))
-        assert not error_text and target.with_name("place.ready").exists() and digest_of(target) == digest
+        assert (
+            not error_text and target.with_name("place.ready").exists() and compute_digest(target) == digest
+        )
         assert json.loads((tmp_path / ".trial.json").read_text())["listen"] == "127.0.0.1:0"
     except FetchError as error:
         assert error_text and f"{error.status}: {error}".startswith(error_text)
@@ -524,7 +526,7 @@
         folder.mkdir()
         (folder / name).write_text(text)
         (folder / name).chmod(mode)
-        digests.add(digest_of(folder))
+        digests.add(compute_digest(folder))
     assert len(digests) == 4
     settings = tmp_path / "s.json"
     settings.write_text('{"b": 2}')
@@ -540,7 +542,7 @@
     (source / "check.py").write_text(
         f"import os; open({str(seen)!r}, 'w').write(repr(sorted(os.environ.items())))"
     )
-    artifact = Artifact("new", digest_of(source), str(source))
+    artifact = Artifact("new", compute_digest(source), str(source))
     check = [sys.executable, "{build}/check.py"]
     store = LocalArtifactStore(MemoryHost(), tmp_path, MemberProgram(None, None, check, []))  # type: ignore[arg-type]
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -93,7 +93,7 @@
             "c3 send GET /api/k3 Req-Kind=read; c3 expect 400"
         )
         (pending,) = self.module().pending.values()
-        self.assertEqual(pending.klass.objective_ms, 600.0)
+        self.assertEqual(pending.request_class.objective_ms, 600.0)
         self.wires["s1"][0].sock.sendall(b"HTTP/1.1 200 X\r\nContent-Length: 1\r\n\r\nv")
         self.play("c1 expect 200 v")
         calls: Any = self.server.telemetry().document()["calls"]
@@ -108,7 +108,7 @@
         self.file = replace_value(self.file, "settings.limits.max_attempts", 1)
         self.reload_classes(*({**row, "effect": "fragile"} for row in SETTINGS["request_classes"]))
         (pending,) = self.module().pending.values()
-        self.assertIs(pending.klass.effect, Effect.RETRYABLE)
+        self.assertIs(pending.request_class.effect, Effect.RETRYABLE)
         request = "c2 send GET /api/k9\ns1 expect GET /api/k9\ns1 send "
         self.play("s1 send 404 ''\norigin expect GET /api/k1\norigin send 200 value\nc1 expect 200 value")
         self.play(f"{request}404 ''\nc2 expect 503\n{request}500 ''\nc2 expect 502")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -151,7 +151,7 @@
             with self.assertRaises(StateDocumentError):
                 import_state(importer, malformed, 9.0)
             self.assertEqual(
-                (len(importer.popularity.top), importer.popularity.reads, importer.service_time),
+                (len(importer.popularity.top), importer.popularity.reads, importer.latency_per_request),
                 (0, 0, 40.0),
             )
 
