--- a/rosepick/lab/live/discovery_server.py
+++ b/rosepick/lab/live/discovery_server.py
@@ -21,7 +21,7 @@
 from ..model.random_streams import UniformStream
 from .controllable_listener import HOST, ControllableListener
 from .live_context import LiveContext
-from .notification_ledger import NotificationTracker
+from .notification_tracker import NotificationTracker
 from .request_reader import HttpRequest, MalformedRequestError, RequestReader, encode_response
 from .router_config import MACHINE_TYPES
 
--- a/rosepick/lab/scale/fleet_process.py
+++ b/rosepick/lab/scale/fleet_process.py
@@ -18,7 +18,7 @@
 
 from ..live.helper_process import raise_descriptor_limit
 from ..live.request_reader import HttpRequest
-from .http_peer import HttpConnection, serve
+from .http_server import HttpConnection, serve
 from .scale_plan import NODE_LISTENERS, EndpointTimeline, ScalePlan, plan_from_document
 
 HEARTBEAT_S = 0.01
--- a/rosepick/lab/scale/scale_run.py
+++ b/rosepick/lab/scale/scale_run.py
@@ -24,9 +24,9 @@
 from ..live.helper_process import ROOT, child_environment, last_log_lines
 from ..live.process_start import ProcessStart
 from ..live.router_process import LiveRouter
+from .cpu_throttle import CpuThrottle
 from .fleet_process import HEARTBEAT_S
 from .load_process import LATE_ANSWER_S, LoadRecord, RequestRecord
-from .processor_slices import CpuThrottle
 from .scale_plan import KILL_AFTER_DEADLINE_S, ZONE_NAMES, EndpointTimeline, RouterSignals, ScalePlan
 
 SERVE_ARGUMENTS = ("--capture",)  # as in production
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -8,7 +8,7 @@
 
 from rosepick.lab.experiment import Experiment, parse_experiment
 from rosepick.lab.live.live_run import run_live
-from rosepick.lab.live.notification_ledger import (
+from rosepick.lab.live.notification_tracker import (
     MAX_CALL_GAP_MS,
     MAX_NOTIFICATION_DELAY_MS,
     NotificationTracker,
