--- a/rosepick/decisions/endpoint_state.py
+++ b/rosepick/decisions/endpoint_state.py
@@ -82,18 +82,20 @@
             self.concurrency_limit = max(MIN_CONCURRENCY, self.concurrency_limit * CONCURRENCY_CUT_FACTOR)
             self.last_cut_at = now
 
-    def expected_latency(self, now: float, service_time: float) -> float:
+    def expected_latency(self, now: float, latency_per_request: float) -> float:
         """Return the expected latency, in ms, of an attempt sent now.
 
         Args:
             now: the current time.
-            service_time: the fleet-wide latency for each request that an endpoint holds. It stands in for an
+            latency_per_request: the fleet-wide latency for each request that an endpoint holds. It stands in for an
                 endpoint that has never responded, and is the value to which a slow endpoint recovers.
         """
         # a ratio of two means, as a mean of ratios would be dominated by responses at low load
-        per_request_ms = self.latency_ewma / (1.0 + self.load_ewma) if self.latency_ewma else service_time
-        if per_request_ms > service_time:
-            per_request_ms = service_time + (per_request_ms - service_time) * exp(
+        per_request_ms = (
+            self.latency_ewma / (1.0 + self.load_ewma) if self.latency_ewma else latency_per_request
+        )
+        if per_request_ms > latency_per_request:
+            per_request_ms = latency_per_request + (per_request_ms - latency_per_request) * exp(
                 (self.latency_at - now) / LATENCY_RECOVERY_MS
             )
         expected_ms = per_request_ms * (1.0 + self.load(now))
