--- a/rosepick/http/server_protocol.py
+++ b/rosepick/http/server_protocol.py
@@ -294,10 +294,10 @@
         if length.isdigit() and int(length) > MAX_BODY_BYTES:
             raise BadRequestError(413, "body too long")
         if self._headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
-            raise BadRequestError(400, "unsupported transfer-encoding: only chunked is supported")
+            raise BadRequestError(400, "a coding of the body that is not known here")
         expect = self._headers.get(b"expect", b"100-continue").lower()
         if expect != b"100-continue":
-            raise BadRequestError(417, "unsupported expectation: only 100-continue is supported")
+            raise BadRequestError(417, "an expectation that is not known here")
         self.wants_continue = b"expect" in self._headers
 
     def is_in_head(self) -> bool:
@@ -376,7 +376,7 @@
         if path in _READINESS_PATHS:
             return ReadinessProbe()
         if method not in (b"GET", b"PUT"):
-            raise BadRequestError(405, "unsupported method: only GET and PUT are supported")
+            raise BadRequestError(405, "only GET and PUT are known here")
         headers = self._headers
         names = self._get_names()
         cost = headers.get(b"req-cost")
