--- a/rosepick/decisions/endpoint_state.py
+++ b/rosepick/decisions/endpoint_state.py
@@ -87,8 +87,8 @@
 
         Args:
             now: the current time.
-            latency_per_request: the fleet-wide latency for each request that an endpoint holds. It stands in for
-                an endpoint that has never responded, and is the value to which a slow endpoint recovers.
+            latency_per_request: the fleet-wide latency for each request that an endpoint holds. It stands in
+                for an endpoint that has never responded, and is the value to which a slow endpoint recovers.
         """
         # a ratio of two means, as a mean of ratios would be dominated by responses at low load
         per_request_ms = (
